--- a/crates/daemon/examples/prepare.rs
+++ b/crates/daemon/examples/prepare.rs
@@ -8,7 +8,7 @@
 use config::configs::Settings;
 use daemon::adapter::Adapter;
 use daemon::context::{Context, lock};
-use daemon::list::Item;
+use daemon::instance_list::Item;
 use daemon::{policies, view};
 use fleet::Copy;
 use fleet::message::{Record, Snapshot, State as Standing};
@@ -72,18 +72,18 @@
             region: "r0".to_owned(),
             ..Settings::default()
         };
-        let context = Arc::new(Context::new(settings, Adapter::own(), runtime.handle().clone()));
+        let context = Arc::new(Context::new(settings, Adapter::native(), runtime.handle().clone()));
         let items = (0..servers).map(|number| Item::new(instance(number), Time::ZERO)).collect();
-        lock(&context.list).take(items, context.now());
+        lock(&context.instance_list).replace(items, context.now());
         let now = context.now();
         let records = (0..daemons).map(record).collect();
         lock(&context.roster).adopt(&Snapshot { records, policy: None, leaving: Vec::new(), copy: false }, now);
-        policies::offer(&context, Copy::new(1, policy()), "example");
+        policies::apply(&context, Copy::new(1, policy()), "example");
         let unchanged = time(|_| view::refresh(&context));
         let changed = time(|round| {
-            let mut items = lock(&context.list).items.to_vec();
-            items[0].starts = Time::from_millis(u64::from(round));
-            lock(&context.list).take(items, context.now());
+            let mut items = lock(&context.instance_list).items.to_vec();
+            items[0].cold_until = Time::from_millis(u64::from(round));
+            lock(&context.instance_list).replace(items, context.now());
             view::refresh(&context);
         });
         println!(
--- a/crates/daemon/src/adapter.rs
+++ b/crates/daemon/src/adapter.rs
@@ -16,12 +16,12 @@
     /// What is listed of it.
     pub instance: Instance,
     /// How much longer it was to start slowly when that was written.
-    pub starts: Duration,
+    pub cold_for: Duration,
 }
 
 /// The policy as the platform's store tells of it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Revised {
+pub struct PolicyUpdate {
     /// Its revision.
     pub revision: u64,
     /// The policy.
@@ -34,11 +34,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Catalog {
     /// The policy if its revision is above the one given; an error if what is there cannot be used.
-    pub policy: fn(&Mirror, &Settings, u64) -> Result<Option<Revised>, String>,
+    pub read_policy: fn(&Mirror, &Settings, u64) -> Result<Option<PolicyUpdate>, String>,
     /// Where the keys begin that each name a backend server.
-    pub folder: &'static str,
+    pub server_prefix: &'static str,
     /// A backend server from its name and the value of its key; an error if it cannot be read.
-    pub server: fn(&str, &[u8], &Settings) -> Result<Server, String>,
+    pub parse_server: fn(&str, &[u8], &Settings) -> Result<Server, String>,
 }
 
 /// The platform's side of a daemon.
@@ -54,7 +54,7 @@
 
 impl Adapter {
     /// The product's own interface and stand-ins.
-    pub const fn own() -> Self {
-        Self { dialect: Dialect::own(), codec: etcd::CODEC, catalog: None }
+    pub const fn native() -> Self {
+        Self { dialect: Dialect::native(), codec: etcd::CODEC, catalog: None }
     }
 }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/at_most_once.rs
@@ -15,7 +15,7 @@
 use crate::context::lock;
 use crate::driver::Outcome;
 use crate::peers;
-use crate::whole::Whole;
+use crate::response::Response;
 
 /// Time before a request's deadline at which its claim is given up, in milliseconds.
 const CLAIM_MARGIN_MS: u64 = 20;
@@ -24,22 +24,22 @@
 
 /// A request that must run at most once.
 #[derive(Debug)]
-pub struct Order {
+pub struct KeyedRequest {
     /// Hash of its idempotency key.
     pub key: u128,
     /// Fingerprint of the request.
     pub fingerprint: u64,
     /// Whether its key belongs to a session of this incarnation.
-    pub session: bool,
+    pub in_session: bool,
     /// Revision of its claim in the store, once made.
-    pub revision: Mutex<Option<u64>>,
+    pub claim_revision: Mutex<Option<u64>>,
     /// The answer of an earlier send, if a peer had it.
-    pub earlier: Mutex<Option<Arc<Whole>>>,
+    pub earlier_response: Mutex<Option<Arc<Response>>>,
 }
 
 /// The lease that new claims hang on. It is never renewed: the store itself removes claims when it ends.
 #[derive(Debug, Clone, Copy)]
-pub struct Span {
+pub struct ClaimLease {
     lease: Lease,
     made: Time,
 }
@@ -50,27 +50,27 @@
 }
 
 /// What to do with an order that came.
-pub fn begin(context: &Context, order: &Order) -> Step<Arc<Whole>> {
+pub fn begin(context: &Context, order: &KeyedRequest) -> Step<Arc<Response>> {
     let now = context.now();
-    lock(&context.ledger).begin(order.key, order.fingerprint, order.session, now)
+    lock(&context.ledger).begin(order.key, order.fingerprint, order.in_session, now)
 }
 
 /// Makes sure that the order's claim is ours before anything is sent.
-pub fn claim(context: &Arc<Context>, order: &Order, deadline: Time) -> Result<(), Kind> {
-    if order.session || lock(&order.revision).is_some() {
+pub fn claim(context: &Arc<Context>, order: &KeyedRequest, deadline: Time) -> Result<(), Kind> {
+    if order.in_session || lock(&order.claim_revision).is_some() {
         return Ok(());
     }
     lock(&context.ledger).claiming(order.key);
     let held = make(context, order, deadline);
     if let Held::Ours(revision) = &held {
-        *lock(&order.revision) = Some(*revision);
+        *lock(&order.claim_revision) = Some(*revision);
     }
     let now = context.now();
     match lock(&context.ledger).claimed(order.key, held, now) {
         Step::Run => Ok(()),
         Step::Refuse(kind) => Err(kind),
         Step::Replay(whole) => {
-            *lock(&order.earlier) = Some(whole);
+            *lock(&order.earlier_response) = Some(whole);
             Err(Kind::AlreadyClaimed)
         }
         Step::Claim => Err(Kind::ClaimUnavailable),
@@ -78,8 +78,8 @@
 }
 
 /// Ends an order and gives what its caller is told.
-pub fn end(context: &Arc<Context>, order: &Order, outcome: Outcome) -> Outcome {
-    if let Some(earlier) = lock(&order.earlier).take() {
+pub fn finish(context: &Arc<Context>, order: &KeyedRequest, outcome: Outcome) -> Outcome {
+    if let Some(earlier) = lock(&order.earlier_response).take() {
         context.metrics.replays.inc();
         return Ok(earlier);
     }
@@ -99,13 +99,13 @@
 }
 
 /// What this daemon can tell a peer of a key.
-pub fn word(context: &Context, key: u128) -> Word<Arc<Whole>> {
+pub fn claim_status(context: &Context, key: u128) -> Word<Arc<Response>> {
     let now = context.now();
     lock(&context.ledger).word(key, now)
 }
 
 /// Makes the claim at the store, asking the claimant if there is another.
-fn make(context: &Arc<Context>, order: &Order, deadline: Time) -> Held<Arc<Whole>> {
+fn make(context: &Arc<Context>, order: &KeyedRequest, deadline: Time) -> Held<Arc<Response>> {
     let give_up = deadline - Duration::from_millis(CLAIM_MARGIN_MS);
     let unsent = lock(&context.ledger).unsent(order.key);
     let maker = Maker::new(context.incarnation, order.fingerprint, unsent, give_up);
@@ -121,7 +121,7 @@
     }
 }
 
-fn perform(context: &Arc<Context>, order: &Order, call: Call) -> Reply<Arc<Whole>> {
+fn perform(context: &Arc<Context>, order: &KeyedRequest, call: Call) -> Reply<Arc<Response>> {
     let name = key::claim(order.key);
     let reply = match call {
         Call::Write(expect) => write(context, order, &name, expect),
@@ -137,7 +137,7 @@
     reply
 }
 
-fn write(context: &Context, order: &Order, name: &str, expect: u64) -> Reply<Arc<Whole>> {
+fn write(context: &Context, order: &KeyedRequest, name: &str, expect: u64) -> Reply<Arc<Response>> {
     let Ok(lease) = lease(context) else {
         return Reply::Unsent;
     };
@@ -153,13 +153,13 @@
         Err(Error::Ambiguous(_)) => Reply::Lost,
         Err(Error::Unreachable(_) | Error::Refused(_)) => {
             // A refused write may mean that the lease is gone.
-            *lock(&context.span) = None;
+            *lock(&context.claim_lease) = None;
             Reply::Unsent
         }
     }
 }
 
-fn read(context: &Context, name: &str) -> Reply<Arc<Whole>> {
+fn read(context: &Context, name: &str) -> Reply<Arc<Response>> {
     match context.store.read(name) {
         Ok(None) => Reply::Found(None),
         Ok(Some(entry)) => match Claim::parse(&entry.value) {
@@ -173,19 +173,19 @@
 /// The lease for claims made now.
 fn lease(context: &Context) -> store::Result<Lease> {
     let now = context.now();
-    let mut span = lock(&context.span);
+    let mut span = lock(&context.claim_lease);
     if let Some(span) = span.filter(|span| now.since(span.made) < LEASE_SPAN) {
         return Ok(span.lease);
     }
     let kept = Duration::from_secs(context.settings.platform.claim_kept_s);
     let lease = context.store.grant(kept + LEASE_SPAN)?;
-    *span = Some(Span { lease, made: now });
+    *span = Some(ClaimLease { lease, made: now });
     Ok(lease)
 }
 
 /// Deletes the claim of an order that never ran, so that it can be sent again anywhere.
-fn release(context: &Arc<Context>, order: &Order) {
-    let Some(revision) = *lock(&order.revision) else { return };
+fn release(context: &Arc<Context>, order: &KeyedRequest) {
+    let Some(revision) = *lock(&order.claim_revision) else { return };
     let key = order.key;
     let context = Arc::clone(context);
     let runtime = context.runtime.clone();
@@ -198,7 +198,7 @@
 }
 
 /// The ledger's word for a claim that nobody tried to make.
-pub fn withdraw(context: &Context, order: &Order) {
+pub fn withdraw(context: &Context, order: &KeyedRequest) {
     let now = context.now();
     let mut ledger = lock(&context.ledger);
     if ledger.unsent(order.key) {
--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -15,12 +15,12 @@
 use http::{Method, StatusCode};
 
 use crate::Context;
+use crate::at_most_once;
 use crate::backends::{leaving, load};
+use crate::decision_log;
 use crate::driver::Outgoing;
-use crate::notes;
-use crate::orders;
+use crate::response::Response;
 use crate::stall;
-use crate::whole::Whole;
 
 /// Time for a cancellation to be taken.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -57,7 +57,7 @@
     let took = context.now().since(begun);
     context.metrics.attempt_time.with_label_values(&[ending.name()]).observe(took.as_secs_f64());
     let status = whole.as_ref().map_or(0, |whole| whole.status.as_u16());
-    notes::ended(&outgoing, sending.attempt, ending, status, took);
+    decision_log::attempt_ended(&outgoing, sending.attempt, ending, status, took);
     context.driver.finish(&context, sending.attempt, ending, whole);
 }
 
@@ -74,7 +74,7 @@
             headers: &host(target.address),
             body: &Bytes::new(),
             max_answer: 0,
-            room: &shared.answers,
+            room: &shared.answer_memory,
         };
         let sent = async { Connection::open(target.address, SILENCE).await.ok()?.exchange(call, |_| true).await.ok() };
         if !matches!(tokio::time::timeout(CANCEL_TIMEOUT, sent).await, Ok(Some(_))) {
@@ -83,7 +83,7 @@
     });
 }
 
-async fn ending(context: &Arc<Context>, outgoing: &Arc<Outgoing>, sending: Sending) -> (Ending, Option<Arc<Whole>>) {
+async fn ending(context: &Arc<Context>, outgoing: &Arc<Outgoing>, sending: Sending) -> (Ending, Option<Arc<Response>>) {
     if let Err(kind) = claim(context, outgoing, sending.deadline).await {
         return (Ending::Withheld(kind), None);
     }
@@ -97,9 +97,9 @@
     let Ok(connection) = connection(context, outgoing, sending, target.address).await else {
         return (Ending::Unreachable, None);
     };
-    stall::note(context);
+    stall::check(context);
     let now = context.now();
-    if !context.driver.look(|engine| engine.may_send(sending.backend, now)) {
+    if !context.driver.with_engine(|engine| engine.may_send(sending.backend, now)) {
         return (Ending::Recalled, None);
     }
     let exchange = exchange(context, outgoing, sending, &target, connection);
@@ -116,13 +116,13 @@
 
 /// Makes sure that an order may be sent; the store is asked on a thread of its own.
 async fn claim(context: &Arc<Context>, outgoing: &Arc<Outgoing>, deadline: Time) -> Result<(), Kind> {
-    if outgoing.order.is_none() {
+    if outgoing.keyed.is_none() {
         return Ok(());
     }
     let (context, outgoing) = (Arc::clone(context), Arc::clone(outgoing));
     let runtime = context.runtime.clone();
-    let claim = runtime.spawn_blocking(move || match &outgoing.order {
-        Some(order) => orders::claim(&context, order, deadline),
+    let claim = runtime.spawn_blocking(move || match &outgoing.keyed {
+        Some(order) => at_most_once::claim(&context, order, deadline),
         None => Ok(()),
     });
     claim.await.unwrap_or(Err(Kind::Internal))
@@ -141,7 +141,7 @@
     if let Some(open) = open {
         return Ok(open);
     }
-    context.metrics.connects.inc();
+    context.metrics.backend_connects.inc();
     let connect = Duration::from_millis(context.settings.dispatch.connect_ms);
     let limit = connect.min(sending.deadline.since(now));
     tokio::time::timeout(limit, Connection::open(address, SILENCE)).await?
@@ -161,7 +161,7 @@
     // On a connection that was used before, a success without an id may be a late copy of an earlier one.
     let used = connection.used();
     let ours = |head: &head::Response| match head.headers.get(&dialect.request_id) {
-        _ if !dialect.callers_id => true,
+        _ if !dialect.caller_sets_id => true,
         None => !(used && head.status.is_success()),
         echoed => echoed == id.as_ref(),
     };
@@ -171,12 +171,12 @@
         headers: &headers,
         body: &outgoing.body,
         max_answer: context.settings.dispatch.max_answer_bytes as usize,
-        room: &context.answers,
+        room: &context.answer_memory,
     };
     note_bytes(context, target, "sent", outgoing.body.len());
     let answer = connection.exchange(call, ours).await?;
     note_bytes(context, target, "received", answer.body.len());
-    let named = !dialect.callers_id || answer.headers.contains_key(&dialect.request_id);
+    let named = !dialect.caller_sets_id || answer.headers.contains_key(&dialect.request_id);
     if answer.reusable && (named || !answer.status.is_success()) {
         context.pool.put(sending.backend, connection, answer.idle_limit(), context.now());
     }
@@ -191,7 +191,7 @@
 }
 
 /// What an answer means, and the answer if it is for the caller.
-fn judge(context: &Arc<Context>, sending: Sending, answer: Answer) -> (Ending, Option<Arc<Whole>>) {
+fn judge(context: &Arc<Context>, sending: Sending, answer: Answer) -> (Ending, Option<Arc<Response>>) {
     let dialect = &context.dialect;
     load::note(context, sending.backend, &answer.headers);
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
@@ -199,14 +199,14 @@
         return (Ending::Unreachable, None);
     }
     leaving::hear(context, sending.backend, answer.status, &answer.headers);
-    if dialect.says_not_run(&answer.headers) {
+    if dialect.is_not_run(&answer.headers) {
         return (Ending::Shed, None);
     }
     if dialect.cancel_path.is_some() && answer.status.as_u16() == 499 {
         return (Ending::Cancelled, None);
     }
     let signed = dialect.signature.as_ref().is_none_or(|name| answer.headers.contains_key(name));
-    let framed = dialect.until_close || answer.framed;
+    let framed = dialect.body_until_close || answer.framed;
     if !framed || (answer.status.is_success() && (!signed || answer.headers.contains_key(CONTENT_ENCODING))) {
         return (Ending::Cut, None);
     }
@@ -214,7 +214,7 @@
     (Ending::Answered(whole.bytes()), Some(Arc::new(whole)))
 }
 
-fn whole(context: &Context, answer: Answer) -> Whole {
+fn whole(context: &Context, answer: Answer) -> Response {
     let mut headers = HeaderMap::with_capacity(answer.headers.len());
     let inner = [&context.dialect.load, &context.dialect.cold_ms];
     let kept = |name: &http::HeaderName| {
@@ -223,7 +223,7 @@
     for (name, value) in answer.headers.iter().filter(|(name, _)| kept(name)) {
         headers.append(name, value.clone());
     }
-    Whole { status: answer.status, headers, body: answer.body }
+    Response { status: answer.status, headers, body: answer.body }
 }
 
 const fn failed(fault: Fault) -> Ending {
@@ -241,7 +241,7 @@
     if !headers.contains_key(HOST) {
         headers.extend(host(target.address));
     }
-    if !dialect.callers_id {
+    if !dialect.caller_sets_id {
         insert(&mut headers, &dialect.request_id, &attempt_id(context, sending.attempt));
     }
     let left = sending.deadline.since(context.now()).as_millis().max(1);
@@ -249,7 +249,7 @@
     if let Some(server) = &dialect.server {
         insert(&mut headers, server, &target.name);
     }
-    if alone(context, outgoing) || (dialect.alone && sending.again) {
+    if alone(context, outgoing) || (dialect.dedicated_connections && sending.again) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     headers
@@ -257,7 +257,7 @@
 
 /// Whether the request gets a connection that serves nothing else.
 fn alone(context: &Context, outgoing: &Outgoing) -> bool {
-    context.dialect.alone && !outgoing.idempotent
+    context.dialect.dedicated_connections && !outgoing.idempotent
 }
 
 fn insert(headers: &mut HeaderMap, name: &http::HeaderName, value: &str) {
--- a/crates/daemon/src/backends/load.rs
+++ b/crates/daemon/src/backends/load.rs
@@ -23,7 +23,7 @@
     log::debug!(backend, running = told.running, waiting = told.waiting, pace = told.pace; "dispatch: load told");
     let pace = f64::from(told.pace) / 100.0;
     let report = Report { load: told.running + told.waiting, draining: false, pace: Some(pace), at: now };
-    context.driver.note_report(backend, report);
+    context.driver.record_report(backend, report);
 }
 
 /// `running,waiting,slots[,pace]`
--- a/crates/daemon/src/backends/probe.rs
+++ b/crates/daemon/src/backends/probe.rs
@@ -11,7 +11,7 @@
 
 use crate::Context;
 use crate::context::lock;
-use crate::plugin::{Loop, Plugin};
+use crate::plugin::{PeriodicThread, Plugin};
 
 /// Longest time for one report.
 const TIMEOUT: Duration = Duration::from_millis(500);
@@ -44,7 +44,7 @@
     let agent: ureq::Agent = config.into();
     let context = Arc::clone(context);
     let mut turn = 0;
-    let running = Loop::start("probe", move || {
+    let running = PeriodicThread::start("probe", move || {
         round(&context, &agent, turn);
         turn += 1;
         pause
@@ -61,7 +61,7 @@
     let own = &context.settings.region;
     let servers = steering.backends.iter().map(|(id, instance)| (*id, &**instance));
     let all: Vec<Server<'_>> = servers.filter(|(_, instance)| instance.region == *own).collect();
-    let hosted: BTreeSet<BackendId> = context.driver.look(|engine| {
+    let hosted: BTreeSet<BackendId> = context.driver.with_engine(|engine| {
         let hosts = engine.backends().filter(|server| server.spec.hosts);
         hosts.map(|server| server.spec.id).collect()
     });
@@ -106,7 +106,7 @@
     let now = context.now();
     let at = now - Duration::from_millis(load.age_ms);
     let report = Report { load: load.busy + load.queued, draining: load.draining, pace: None, at };
-    context.driver.with(context, |engine| engine.report(id, report, now));
+    context.driver.with_engine_mut(context, |engine| engine.report(id, report, now));
     Some((instance.domain.clone(), report.load, instance.slots))
 }
 
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -14,10 +14,10 @@
 use super::connection::Incoming;
 use super::reply::Reply;
 use crate::Context;
+use crate::at_most_once::{self, KeyedRequest};
 use crate::context::lock;
-use crate::dialect::Once;
+use crate::dialect::AtMostOnce;
 use crate::driver::{Outcome, Outgoing, Submission};
-use crate::orders::{self, Order};
 
 /// Names an order; repeated on each re-send of it.
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
@@ -69,7 +69,7 @@
     let Some((name, class)) = found else {
         return (None, Err(Kind::UnknownRoute.into()));
     };
-    let Some(position) = in_force.class(name) else {
+    let Some(position) = in_force.class_position(name) else {
         return (None, Err(Kind::UnknownRoute.into()));
     };
     let (name, idempotent) = (name.to_owned(), class.idempotent);
@@ -91,10 +91,10 @@
     let Choice { class, idempotent } = choice;
     let Incoming { head, body, .. } = incoming;
     let fingerprint = fingerprint(head.method.as_str(), &head.target, &body);
-    let keyed = !idempotent && context.dialect.once == Once::Key;
+    let keyed = !idempotent && context.dialect.at_most_once == AtMostOnce::PerKey;
     let order = if keyed { Some(order(context, &head.headers, fingerprint)?) } else { None };
     if let Some(order) = &order {
-        match orders::begin(context, order) {
+        match at_most_once::begin(context, order) {
             Step::Claim | Step::Run => {}
             Step::Replay(whole) => {
                 context.metrics.replays.inc();
@@ -106,18 +106,18 @@
     let submission = submission(context, class, fingerprint, &head.headers);
     let object = context.dialect.object.as_ref().and_then(|name| head::text(&head.headers, name)).unwrap_or("-");
     let outgoing = Arc::new(Outgoing {
-        number: context.driver.number(),
+        number: context.driver.next_request_number(),
         id: id.to_owned(),
         object: object.to_owned(),
         method: head.method,
         target: head.target,
         headers: passed(context, &head.headers),
         body,
-        gives_up: submission.limit.map(|limit| now + limit),
+        caller_deadline: submission.limit.map(|limit| now + limit),
         idempotent,
-        order,
+        keyed: order,
     });
-    if outgoing.order.is_some() {
+    if outgoing.keyed.is_some() {
         return run_order(context, outgoing, submission).await;
     }
     let mut guard = Guard { context: Arc::clone(context), request: Some(outgoing.number) };
@@ -132,17 +132,20 @@
     let task = context.runtime.spawn(async move {
         let outcome = shared.driver.submit(&shared, Arc::clone(&outgoing), submission).await;
         let outcome = outcome.unwrap_or_else(|_| Err(Kind::Internal.into()));
-        let Some(order) = &outgoing.order else { return outcome };
-        orders::withdraw(&shared, order);
-        orders::end(&shared, order, outcome)
+        let Some(order) = &outgoing.keyed else { return outcome };
+        at_most_once::withdraw(&shared, order);
+        at_most_once::finish(&shared, order, outcome)
     });
     task.await.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
 /// The name of a request in logs: the caller's id of this send, or a new one.
 fn request_id(context: &Context, headers: &HeaderMap) -> String {
-    let given = head::text(headers, &context.dialect.request_id).filter(|_| context.dialect.callers_id);
-    given.map_or_else(|| format!("{:08x}-{}", context.incarnation as u32, context.driver.number()), str::to_owned)
+    let given = head::text(headers, &context.dialect.request_id).filter(|_| context.dialect.caller_sets_id);
+    given.map_or_else(
+        || format!("{:08x}-{}", context.incarnation as u32, context.driver.next_request_number()),
+        str::to_owned,
+    )
 }
 
 /// Abandons a request whose caller went away.
@@ -171,7 +174,7 @@
     }
 }
 
-fn order(context: &Context, headers: &HeaderMap, fingerprint: u64) -> Result<Order, Kind> {
+fn order(context: &Context, headers: &HeaderMap, fingerprint: u64) -> Result<KeyedRequest, Kind> {
     let key = head::text(headers, &KEY).filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     let key = key.ok_or(Kind::KeyMissing)?;
     let session = head::text(headers, &SESSION);
@@ -179,12 +182,12 @@
         // Only the incarnation that the session belongs to knows whether the key ran.
         return Err(Kind::AlreadyClaimed);
     }
-    Ok(Order {
-        key: orders::key_hash(session, key),
+    Ok(KeyedRequest {
+        key: at_most_once::key_hash(session, key),
         fingerprint,
-        session: session.is_some(),
-        revision: Mutex::new(None),
-        earlier: Mutex::new(None),
+        in_session: session.is_some(),
+        claim_revision: Mutex::new(None),
+        earlier_response: Mutex::new(None),
     })
 }
 
@@ -203,7 +206,7 @@
     let mut passed = HeaderMap::with_capacity(headers.len());
     let kept = |name: &HeaderName| {
         let framing = *name == CONTENT_LENGTH || *name == EXPECT;
-        !framing && !head::is_hop(name.as_str()) && !context.dialect.sets(name)
+        !framing && !head::is_hop(name.as_str()) && !context.dialect.is_set_by_daemon(name)
     };
     for (name, value) in headers.iter().filter(|(name, _)| kept(name)) {
         passed.append(name, value.clone());
--- a/crates/daemon/src/callers/lookup.rs
+++ b/crates/daemon/src/callers/lookup.rs
@@ -67,7 +67,7 @@
 fn near(context: &Arc<Context>, region: &str) -> Reply {
     context.metrics.lookups.inc();
     let steering = context.steering();
-    let region = context.policy().region(region);
+    let region = context.policy().region_position(region);
     let most = context.settings.callers.answer_entries as usize;
     let found = steer::near::look_up(&steering.view, region, most);
     let addresses: Vec<&str> =
--- a/crates/daemon/src/callers/reply.rs
+++ b/crates/daemon/src/callers/reply.rs
@@ -10,7 +10,7 @@
 
 use crate::dialect::Dialect;
 use crate::driver::Refusal;
-use crate::whole::Whole;
+use crate::response::Response;
 
 /// An answer with its whole body.
 #[derive(Debug, Clone)]
@@ -64,7 +64,7 @@
 
     /// The answer to a request that no backend server answered.
     pub fn refusal(refusal: Refusal, dialect: &Dialect) -> Self {
-        let Refusal { kind, after } = refusal;
+        let Refusal { kind, retry_after } = refusal;
         let answer = kind.answer();
         let mut reply =
             Self::json(&Body { error: kind.as_str(), outcome: answer.outcome.as_str(), advice: kind.advice() });
@@ -74,14 +74,14 @@
             reply.headers.insert(outcome, HeaderValue::from_static(answer.outcome.as_str()));
         }
         let usual = answer.retry_after_s.map(|seconds| Duration::from_secs(seconds.into()));
-        if let Some(after) = after.or(usual) {
-            reply.headers.insert(RETRY_AFTER, seconds(after, dialect.fractions));
+        if let Some(after) = retry_after.or(usual) {
+            reply.headers.insert(RETRY_AFTER, seconds(after, dialect.fractional_retry_after));
         }
         reply
     }
 
     /// A backend server's whole answer.
-    pub fn whole(whole: &Whole, dialect: &Dialect) -> Self {
+    pub fn whole(whole: &Response, dialect: &Dialect) -> Self {
         let mut headers = whole.headers.clone();
         if let Some(outcome) = &dialect.outcome {
             headers.insert(outcome, HeaderValue::from_static("complete"));
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -30,7 +30,7 @@
     }
 
     /// Waits until `time` is reached.
-    pub fn until(&self, time: Time) -> Duration {
+    pub fn duration_until(&self, time: Time) -> Duration {
         time.since(self.now())
     }
 }
@@ -41,7 +41,7 @@
 }
 
 /// Milliseconds of the calendar, for incarnations only.
-pub fn calendar_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as u64
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -21,31 +21,31 @@
 use steer::shift::Controller;
 
 use crate::adapter::{Adapter, Catalog};
+use crate::at_most_once::ClaimLease;
 use crate::backends::pool::Pool;
 use crate::clock::{self, Clock};
 use crate::dialect::Dialect;
 use crate::driver::Driver;
-use crate::list::{Entries, List};
+use crate::instance_list::{List, ServerEntries};
 use crate::metrics::Metrics;
 use crate::mirror::Learning;
-use crate::orders::Span;
 use crate::peers;
-use crate::policies::InForce;
+use crate::policies::ActivePolicy;
+use crate::response::Response;
 use crate::view::{Prepared, Preparing, Steering};
-use crate::whole::Whole;
 
 /// Keys of sessions remembered at most.
 const SESSION_KEYS: usize = 65_536;
 
 /// What is known of backend servers beside the list of instances.
 #[derive(Debug, Clone, Default)]
-pub struct Servers {
+pub struct CatalogState {
     /// Entries of the store as they were read last.
-    pub entries: Entries,
+    pub entries: ServerEntries,
     /// Why entries were passed over.
-    pub refused: BTreeSet<String>,
+    pub entries_passed_over: BTreeSet<String>,
     /// Why the policy was refused last.
-    pub policy_refused: Option<String>,
+    pub policy_error: Option<String>,
     /// What of the policy cannot be used or is not known.
     pub policy_passed_over: BTreeSet<String>,
 }
@@ -58,11 +58,11 @@
     /// What callers and backend servers call the things that cross the wire.
     pub dialect: Arc<Dialect>,
     /// Notices that the process stood still.
-    pub stall: Mutex<Stall>,
+    pub stall_detector: Mutex<Stall>,
     /// The clock.
     pub clock: Clock,
     /// When the process started.
-    begun: Time,
+    started_at: Time,
     /// Random number of this process; no two are equal.
     pub incarnation: u64,
     /// Runs the sockets of callers and peers.
@@ -74,45 +74,45 @@
     /// A copy of the store's keys, if the platform keeps policy and backend servers there.
     pub mirror: Mutex<store::Mirror>,
     /// How that copy learns of changes.
-    pub learning: Learning,
+    pub mirror_sync: Learning,
     /// What is known of backend servers beside the list of instances.
-    pub servers: Mutex<Servers>,
+    pub catalog_state: Mutex<CatalogState>,
     /// The policy in force, with its copy for peers.
-    pub holder: Mutex<Holder>,
+    pub policy_replica: Mutex<Holder>,
     /// The policy in force, parsed.
-    pub in_force: RwLock<Arc<InForce>>,
+    pub active_policy: RwLock<Arc<ActivePolicy>>,
     /// Membership and loads.
     pub roster: Mutex<Roster>,
     /// Bounds how often peers are told at once of losses and of leaving servers.
-    pub telling: Mutex<Bucket>,
+    pub gossip_limiter: Mutex<Bucket>,
     /// Shares of links and other regions.
-    pub keeper: Mutex<Keeper>,
+    pub grant_manager: Mutex<Keeper>,
     /// Shifts of callers between regions.
-    pub controller: Mutex<Controller>,
+    pub shift_controller: Mutex<Controller>,
     /// What look-ups read.
     pub steering: RwLock<Arc<Steering>>,
     /// Held while the state is prepared, so that an older state never follows a newer one.
     pub preparing: Mutex<Preparing>,
     /// Instances in the platform's list.
-    pub list: Mutex<List>,
+    pub instance_list: Mutex<List>,
     /// Answers of backend servers that are being read.
-    pub answers: Room,
+    pub answer_memory: Room,
     /// Idle connections to backend servers.
     pub pool: Pool,
     /// Requests under way.
     pub driver: Driver,
     /// Keys of non-idempotent requests.
-    pub ledger: Mutex<Ledger<Arc<Whole>>>,
+    pub ledger: Mutex<Ledger<Arc<Response>>>,
     /// The lease that new claims hang on.
-    pub span: Mutex<Option<Span>>,
+    pub claim_lease: Mutex<Option<ClaimLease>>,
     /// Service-level counts by class.
     pub burn: Mutex<BTreeMap<String, burn::Series>>,
     /// Counters for operators.
     pub metrics: Metrics,
     /// The last time the store answered, in microseconds of the clock.
-    pub store_seen: AtomicU64,
+    pub store_answered_at: AtomicU64,
     /// The last time a peer answered, in microseconds of the clock.
-    pub peers_seen: AtomicU64,
+    pub peer_answered_at: AtomicU64,
     stopping: AtomicBool,
 }
 
@@ -124,7 +124,7 @@
         let incarnation = fastrand::u64(1..);
         let record = Record {
             name: settings.instance.clone(),
-            incarnation: clock::calendar_ms(),
+            incarnation: clock::unix_time_ms(),
             beat: 0,
             state: State::Alive,
             peers: settings.fleet.address.clone(),
@@ -151,32 +151,32 @@
             dialect: Arc::new(adapter.dialect),
             catalog: adapter.catalog,
             mirror: Mutex::new(store::Mirror::new()),
-            learning: Learning::new(),
-            servers: Mutex::new(Servers::default()),
-            stall: Mutex::new(Stall::new(now)),
+            mirror_sync: Learning::new(),
+            catalog_state: Mutex::new(CatalogState::default()),
+            stall_detector: Mutex::new(Stall::new(now)),
             clock,
-            begun: now,
+            started_at: now,
             incarnation,
             runtime,
             store,
-            holder: Mutex::new(Holder::new()),
-            in_force: RwLock::new(Arc::new(InForce::new(0, Policy::default()))),
+            policy_replica: Mutex::new(Holder::new()),
+            active_policy: RwLock::new(Arc::new(ActivePolicy::new(0, Policy::default()))),
             roster: Mutex::new(Roster::new(record, times, incarnation)),
-            telling: Mutex::new(peers::telling(now)),
-            keeper: Mutex::new(Keeper::new()),
-            controller: Mutex::new(Controller::new(0, kept, now)),
+            gossip_limiter: Mutex::new(peers::telling(now)),
+            grant_manager: Mutex::new(Keeper::new()),
+            shift_controller: Mutex::new(Controller::new(0, kept, now)),
             steering: RwLock::new(Arc::new(Steering::default())),
             preparing: Mutex::new(Preparing::default()),
-            list: Mutex::new(List::default()),
-            answers: Room::new(settings.dispatch.answers_bytes as usize),
+            instance_list: Mutex::new(List::default()),
+            answer_memory: Room::new(settings.dispatch.answers_bytes as usize),
             pool: Pool::new(),
             driver: Driver::new(Engine::new(Vec::new(), limits, incarnation)),
             ledger: Mutex::new(Ledger::new(keys)),
-            span: Mutex::new(None),
+            claim_lease: Mutex::new(None),
             burn: Mutex::new(BTreeMap::new()),
             metrics: Metrics::new(),
-            store_seen: AtomicU64::new(0),
-            peers_seen: AtomicU64::new(0),
+            store_answered_at: AtomicU64::new(0),
+            peer_answered_at: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             settings,
         }
@@ -188,13 +188,13 @@
     }
 
     /// Time since this process started.
-    pub fn age(&self) -> Duration {
-        self.now().since(self.begun)
+    pub fn uptime(&self) -> Duration {
+        self.now().since(self.started_at)
     }
 
     /// The policy in force.
-    pub fn policy(&self) -> Arc<InForce> {
-        Arc::clone(&self.in_force.read().unwrap_or_else(std::sync::PoisonError::into_inner))
+    pub fn policy(&self) -> Arc<ActivePolicy> {
+        Arc::clone(&self.active_policy.read().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
     /// What look-ups read.
@@ -203,7 +203,7 @@
     }
 
     /// What the prepared state rests on.
-    pub fn rests_on(&self) -> Prepared {
+    pub fn prepared(&self) -> Prepared {
         lock(&self.preparing).rests_on
     }
 
--- a/crates/daemon/src/notes.rs
+++ b/crates/daemon/src/decision_log.rs
@@ -18,12 +18,12 @@
 const NAMED: usize = 8;
 
 /// Where a request goes and what that rests on; `waited` is the time since it came.
-pub fn sent(context: &Context, outgoing: &Outgoing, sending: Sending, waited: Duration, why: Why) {
+pub fn attempt_sent(context: &Context, outgoing: &Outgoing, sending: Sending, waited: Duration, why: Why) {
     let steering = context.steering();
     let target = steering.backends.get(&sending.backend);
     let (server, domain) = target.map_or(("gone", ""), |instance| (&instance.name, &instance.domain));
     let now = context.now();
-    let warm = warm(why);
+    let warm = warm_label(why);
     log::info!(
         request = outgoing.id.as_str(), object = outgoing.object.as_str(), attempt = sending.attempt, server, domain,
         again = sending.again, warm, own = why.own, load:% = format_args!("{:.2}", why.load),
@@ -35,7 +35,7 @@
 }
 
 /// How an attempt ended; `status` is that of its answer, zero for none.
-pub fn ended(outgoing: &Outgoing, attempt: u64, ending: Ending, status: u16, took: Duration) {
+pub fn attempt_ended(outgoing: &Outgoing, attempt: u64, ending: Ending, status: u16, took: Duration) {
     log::info!(
         request = outgoing.id.as_str(), attempt, ending:% = ending.name(), status, ms:% = took.as_millis();
         "dispatch: attempt ended"
@@ -43,17 +43,17 @@
 }
 
 /// The caller went away before it was answered.
-pub fn gone(outgoing: &Outgoing, waited: Duration) {
+pub fn caller_disconnected(outgoing: &Outgoing, waited: Duration) {
     log::info!(request = outgoing.id.as_str(), ms:% = waited.as_millis(); "callers: gone");
 }
 
 /// Whether the server had handled the object lately, as a word; a dash for a request about none.
-pub fn warm(why: Why) -> &'static str {
+pub fn warm_label(why: Why) -> &'static str {
     why.warm.map_or("-", |warm| if warm { "yes" } else { "no" })
 }
 
 /// Writes the line of a note; `id` is the name of the request that it is about, if it is about one.
-pub fn write(context: &Context, note: &Note, id: &str) {
+pub fn decision(context: &Context, note: &Note, id: &str) {
     let now = context.now();
     let steering = context.steering();
     let name = |backend: &BackendId| steering.backends.get(backend).map_or("gone", |known| known.name.as_str());
@@ -78,11 +78,11 @@
         }
         Note::Trusted { backend } => log::info!(server = name(backend); "dispatch: server trusted again"),
         Note::Leaving { backend } => {
-            context.metrics.leavings.inc();
+            context.metrics.servers_leaving.inc();
             log::info!(server = name(backend); "dispatch: server says it leaves");
         }
         Note::Paused { backend, until } => {
-            context.metrics.pauses.inc();
+            context.metrics.servers_paused.inc();
             log::info!(server = name(backend), for_ms:% = until.since(now).as_millis(); "dispatch: server wants nothing");
         }
         Note::Poisonous { fingerprint } => {
@@ -101,7 +101,7 @@
 }
 
 /// What a new view of the world changes: backend servers that came, went or leave, and how entry instances stand.
-pub fn changed(before: &Steering, after: &Steering) {
+pub fn steering_changed(before: &Steering, after: &Steering) {
     let news = |one: &Steering, other: &Steering| {
         let added = one.backends.iter().filter(|(id, _)| !other.backends.contains_key(id));
         added.map(|(_, instance)| instance.name.clone()).collect::<Vec<_>>()
--- a/crates/daemon/src/dialect.rs
+++ b/crates/daemon/src/dialect.rs
@@ -1,17 +1,17 @@
 //! What callers and backend servers of a deployment call the things that cross the wire.
 //!
-//! The daemon's own interface is [`Dialect::own`] (`docs/CALLERS.md`); an adapter to another platform gives its own.
+//! The daemon's own interface is [`Dialect::native`] (`docs/CALLERS.md`); an adapter to another platform gives its own.
 
 use http::HeaderMap;
 use http::header::HeaderName;
 
 /// How a caller's request that must not run twice is told from its re-send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Once {
+pub enum AtMostOnce {
     /// By a key that the caller repeats: the order runs at most once over all its sends.
-    Key,
+    PerKey,
     /// Each send is a request of its own: it runs at most once for itself.
-    Send,
+    PerSend,
 }
 
 /// Names of headers and paths.
@@ -21,7 +21,7 @@
     /// Names one send; backend servers cancel by it or repeat it in their answer.
     pub request_id: HeaderName,
     /// Whether the caller gives the id of a send and backend servers repeat it; otherwise it names our attempt.
-    pub callers_id: bool,
+    pub caller_sets_id: bool,
     /// Milliseconds that the caller still waits, or that a backend server may work.
     pub deadline_ms: HeaderName,
     /// The object that a request is about: a server that handled it lately works faster.
@@ -43,23 +43,23 @@
     /// How long a server that has just started stays slow, in milliseconds, in its health answers.
     pub cold_ms: Option<HeaderName>,
     /// Whether an answer may end with its connection; otherwise such an answer counts as cut.
-    pub until_close: bool,
+    pub body_until_close: bool,
     /// Whether a request that must not run twice, and each second try, gets a connection of its own.
-    pub alone: bool,
+    pub dedicated_connections: bool,
     /// Path for cancelling an attempt by its id; `None` if closing the connection cancels.
     pub cancel_path: Option<&'static str>,
     /// Whether callers read fractions of a second in the time after which to come back.
-    pub fractions: bool,
+    pub fractional_retry_after: bool,
     /// How requests that must not run twice are told apart.
-    pub once: Once,
+    pub at_most_once: AtMostOnce,
 }
 
 impl Dialect {
     /// The daemon's own interface.
-    pub const fn own() -> Self {
+    pub const fn native() -> Self {
         Self {
             request_id: HeaderName::from_static("x-request-id"),
-            callers_id: false,
+            caller_sets_id: false,
             deadline_ms: HeaderName::from_static("x-deadline-ms"),
             object: None,
             server: None,
@@ -70,16 +70,16 @@
             not_run_value: Some("not-run"),
             outcome: Some(HeaderName::from_static("x-outcome")),
             cold_ms: None,
-            until_close: false,
-            alone: true,
+            body_until_close: false,
+            dedicated_connections: true,
             cancel_path: Some("/cancel"),
-            fractions: false,
-            once: Once::Key,
+            fractional_retry_after: false,
+            at_most_once: AtMostOnce::PerKey,
         }
     }
 
     /// Whether a server says in these headers that it ran nothing.
-    pub fn says_not_run(&self, headers: &HeaderMap) -> bool {
+    pub fn is_not_run(&self, headers: &HeaderMap) -> bool {
         match (headers.get(&self.not_run), self.not_run_value) {
             (Some(value), Some(word)) => value == word,
             (value, None) => value.is_some(),
@@ -88,8 +88,8 @@
     }
 
     /// Whether a header is ours to set towards backend servers, so that a caller's own is not passed on.
-    pub fn sets(&self, name: &HeaderName) -> bool {
-        let id = *name == self.request_id && !self.callers_id;
+    pub fn is_set_by_daemon(&self, name: &HeaderName) -> bool {
+        let id = *name == self.request_id && !self.caller_sets_id;
         id || *name == self.deadline_ms || self.server.as_ref() == Some(name)
     }
 }
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -16,13 +16,13 @@
 use tokio::task::AbortHandle;
 
 use crate::Context;
+use crate::at_most_once::KeyedRequest;
 use crate::backends::attempt;
 use crate::context::lock;
-use crate::notes;
-use crate::orders::Order;
+use crate::decision_log;
 use crate::plugin::Plugin;
+use crate::response::Response;
 use crate::stall;
-use crate::whole::Whole;
 
 /// Longest sleep of the timer.
 const LONGEST_SLEEP: Duration = Duration::from_secs(1);
@@ -49,11 +49,11 @@
     /// Body.
     pub body: Bytes,
     /// When the caller waits no longer, if it says so.
-    pub gives_up: Option<Time>,
+    pub caller_deadline: Option<Time>,
     /// Whether running it twice is harmless.
     pub idempotent: bool,
     /// Set for a request that must run at most once.
-    pub order: Option<Order>,
+    pub keyed: Option<KeyedRequest>,
 }
 
 /// What dispatch has to know of a request.
@@ -75,17 +75,17 @@
     /// The kind of error.
     pub kind: Kind,
     /// When the caller should come back, if not after the kind's usual time.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl From<Kind> for Refusal {
     fn from(kind: Kind) -> Self {
-        Self { kind, after: None }
+        Self { kind, retry_after: None }
     }
 }
 
 /// What a caller's request comes to.
-pub type Outcome = Result<Arc<Whole>, Refusal>;
+pub type Outcome = Result<Arc<Response>, Refusal>;
 
 #[derive(Debug)]
 struct Pending {
@@ -108,7 +108,7 @@
 pub struct Driver {
     engine: Mutex<Engine>,
     pending: Mutex<BTreeMap<u64, Pending>>,
-    answers: Mutex<BTreeMap<u64, Arc<Whole>>>,
+    answers: Mutex<BTreeMap<u64, Arc<Response>>>,
     /// Attempts under way.
     running: Mutex<BTreeMap<u64, Running>>,
     next: AtomicU64,
@@ -129,7 +129,7 @@
     }
 
     /// A number for a new request.
-    pub fn number(&self) -> u64 {
+    pub fn next_request_number(&self) -> u64 {
         self.next.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -144,10 +144,10 @@
         let Submission { class, fingerprint, limit, object } = submission;
         let bytes = outgoing.body.len() as u64;
         let arrival = Arrival { request: outgoing.number, class, fingerprint, bytes, limit, object };
-        stall::note(context);
+        stall::check(context);
         let now = context.now();
         lock(&self.pending).insert(outgoing.number, Pending { outgoing, reply, came: now });
-        self.with(context, |engine| engine.submit(arrival, now));
+        self.with_engine_mut(context, |engine| engine.submit(arrival, now));
         outcome
     }
 
@@ -156,26 +156,26 @@
         let now = context.now();
         if let Some(pending) = lock(&self.pending).remove(&request) {
             context.metrics.callers_gone.inc();
-            notes::gone(&pending.outgoing, now.since(pending.came));
+            decision_log::caller_disconnected(&pending.outgoing, now.since(pending.came));
         }
-        self.with(context, |engine| engine.abandon(request, now));
+        self.with_engine_mut(context, |engine| engine.abandon(request, now));
     }
 
     /// An attempt ended; `whole` is its answer, if it has one.
-    pub fn finish(&self, context: &Arc<Context>, attempt: u64, ending: Ending, whole: Option<Arc<Whole>>) {
-        stall::note(context);
+    pub fn finish(&self, context: &Arc<Context>, attempt: u64, ending: Ending, whole: Option<Arc<Response>>) {
+        stall::check(context);
         context.metrics.attempts.with_label_values(&[ending.name()]).inc();
         lock(&self.running).remove(&attempt);
         if let Some(whole) = whole {
             lock(&self.answers).insert(attempt, whole);
         }
         let now = context.now();
-        self.with(context, |engine| engine.finish(attempt, ending, now));
+        self.with_engine_mut(context, |engine| engine.finish(attempt, ending, now));
         lock(&self.answers).remove(&attempt);
     }
 
     /// Lets `work` change the engine, then carries out what it decided.
-    pub fn with<T>(&self, context: &Arc<Context>, work: impl FnOnce(&mut Engine) -> T) -> T {
+    pub fn with_engine_mut<T>(&self, context: &Arc<Context>, work: impl FnOnce(&mut Engine) -> T) -> T {
         let mut engine = lock(&self.engine);
         let result = work(&mut engine);
         let notes = engine.take_notes();
@@ -197,7 +197,7 @@
     }
 
     /// Looks at the engine without changing it.
-    pub fn look<T>(&self, work: impl FnOnce(&Engine) -> T) -> T {
+    pub fn with_engine<T>(&self, work: impl FnOnce(&Engine) -> T) -> T {
         work(&lock(&self.engine))
     }
 
@@ -213,7 +213,13 @@
                 let running = lock(&self.running).remove(&attempt);
                 if let Some(running) = running {
                     running.task.abort();
-                    notes::ended(&running.outgoing, attempt, Ending::Cancelled, 0, context.now().since(running.begun));
+                    decision_log::attempt_ended(
+                        &running.outgoing,
+                        attempt,
+                        Ending::Cancelled,
+                        0,
+                        context.now().since(running.begun),
+                    );
                     self.finish(context, attempt, Ending::Cancelled, None);
                 }
             }
@@ -227,11 +233,11 @@
         let Some((outgoing, came)) = pending else { return };
         let waited = context.now().since(came);
         let again = if sending.again { "yes" } else { "no" };
-        context.metrics.sends.with_label_values(&[again, notes::warm(why)]).inc();
+        context.metrics.sends.with_label_values(&[again, decision_log::warm_label(why)]).inc();
         if !sending.again {
-            context.metrics.waits.observe(waited.as_secs_f64());
+            context.metrics.wait_time.observe(waited.as_secs_f64());
         }
-        notes::sent(context, &outgoing, sending, waited, why);
+        decision_log::attempt_sent(context, &outgoing, sending, waited, why);
     }
 
     /// Logs what was decided or is believed now, before the requests concerned are answered.
@@ -247,7 +253,7 @@
         let pending = lock(&self.pending);
         let outgoing = request.and_then(|request| pending.get(&request)).map(|pending| Arc::clone(&pending.outgoing));
         drop(pending);
-        notes::write(context, note, outgoing.as_ref().map_or("-", |outgoing| outgoing.id.as_str()));
+        decision_log::decision(context, note, outgoing.as_ref().map_or("-", |outgoing| outgoing.id.as_str()));
     }
 
     fn start(&self, context: &Arc<Context>, request: u64, sending: attempt::Sending) {
@@ -263,7 +269,7 @@
     }
 
     /// Takes in a load report that came with an answer; it is acted on when that answer is.
-    pub fn note_report(&self, backend: BackendId, report: Report) {
+    pub fn record_report(&self, backend: BackendId, report: Report) {
         lock(&self.engine).note_report(backend, report);
     }
 
@@ -272,7 +278,7 @@
             return;
         };
         let outcome = match verdict {
-            Verdict::Refuse(kind) => Err(Refusal { kind, after }),
+            Verdict::Refuse(kind) => Err(Refusal { kind, retry_after: after }),
             Verdict::Relay(attempt) => lock(&self.answers).get(&attempt).cloned().ok_or(Refusal::from(Kind::Internal)),
         };
         if pending.reply.send(outcome).is_err() {
@@ -299,16 +305,16 @@
 async fn run(context: &Arc<Context>) {
     let driver = &context.driver;
     loop {
-        let wake = driver.look(Engine::wake);
-        let sleep = wake.map_or(LONGEST_SLEEP, |wake| context.clock.until(wake).min(LONGEST_SLEEP));
+        let wake = driver.with_engine(Engine::wake);
+        let sleep = wake.map_or(LONGEST_SLEEP, |wake| context.clock.duration_until(wake).min(LONGEST_SLEEP));
         tokio::select! {
             () = tokio::time::sleep(sleep) => {}
             () = driver.changed.notified() => {}
         }
-        stall::note(context);
+        stall::check(context);
         let now = context.now();
-        if driver.look(Engine::wake).is_some_and(|wake| wake <= now) {
-            driver.with(context, |engine| engine.tick(now));
+        if driver.with_engine(Engine::wake).is_some_and(|wake| wake <= now) {
+            driver.with_engine_mut(context, |engine| engine.tick(now));
         }
     }
 }
--- a/crates/daemon/src/grants.rs
+++ b/crates/daemon/src/grants.rs
@@ -9,7 +9,7 @@
 
 use crate::Context;
 use crate::context::lock;
-use crate::plugin::{Loop, Plugin};
+use crate::plugin::{PeriodicThread, Plugin};
 
 /// Time between two looks at the plan.
 const TURN: Duration = Duration::from_secs(2);
@@ -19,7 +19,7 @@
 }
 
 struct Grants {
-    running: Loop,
+    running: PeriodicThread,
     context: Arc<Context>,
     lease: Arc<std::sync::Mutex<Option<Lease>>>,
 }
@@ -28,8 +28,8 @@
     /// Gives the slots back, so that the others need not wait for the lease to end.
     fn close(&mut self) {
         self.running.stop();
-        let held: Vec<u32> = lock(&self.context.keeper).held().collect();
-        lock(&self.context.keeper).lost();
+        let held: Vec<u32> = lock(&self.context.grant_manager).held().collect();
+        lock(&self.context.grant_manager).lost();
         let lease = lock(&self.lease).take();
         if let Some(lease) = lease {
             give_back(&self.context, lease, &held);
@@ -43,7 +43,7 @@
     }
     let lease = Arc::new(std::sync::Mutex::new(None));
     let (shared, held_lease) = (Arc::clone(context), Arc::clone(&lease));
-    let running = Loop::start("grants", move || {
+    let running = PeriodicThread::start("grants", move || {
         turn(&shared, &held_lease);
         TURN
     })?;
@@ -57,25 +57,25 @@
     }
     let live = region_members(context);
     let now = context.now();
-    let plan = lock(&context.keeper).plan(live, now);
+    let plan = lock(&context.grant_manager).plan(live, now);
     let lease = *lock(held_lease);
     match (plan, lease) {
         (Plan::Rest, _) => {}
         (Plan::Lease, _) | (_, None) => {
             if let Ok(lease) = context.store.grant(LEASE) {
                 *lock(held_lease) = Some(lease);
-                lock(&context.keeper).leased(now);
+                lock(&context.grant_manager).leased(now);
             }
         }
         (Plan::Renew, Some(lease)) => match context.store.renew(lease) {
-            Ok(true) => lock(&context.keeper).leased(now),
-            Ok(false) => lock(&context.keeper).lost(),
+            Ok(true) => lock(&context.grant_manager).leased(now),
+            Ok(false) => lock(&context.grant_manager).lost(),
             Err(error) => log::debug!("grants: renewal skipped reason={:?}", error.to_string()),
         },
         (Plan::Take(count), Some(lease)) => take(context, lease, count),
         (Plan::Drop(slots), Some(_)) => drop_slots(context, &slots),
     }
-    context.metrics.grants.set(lock(&context.keeper).held().count() as i64);
+    context.metrics.grant_slots.set(lock(&context.grant_manager).held().count() as i64);
 }
 
 /// Living entry instances of our region.
@@ -101,7 +101,7 @@
         return;
     };
     let token = token(context, lease);
-    let held: BTreeSet<u32> = lock(&context.keeper).held().collect();
+    let held: BTreeSet<u32> = lock(&context.grant_manager).held().collect();
     let known: BTreeMap<u32, &Entry> =
         entries.iter().filter_map(|entry| Some((slot_number(&entry.key)?, entry))).collect();
     let ours = known.iter().filter(|(number, entry)| entry.value == token && !held.contains(number));
@@ -115,11 +115,11 @@
     let changes: Vec<Change> = wanted.iter().map(set).collect();
     if changes.is_empty() {
         let now = context.now();
-        return lock(&context.keeper).retry(now);
+        return lock(&context.grant_manager).retry(now);
     }
     let commit = context.store.commit(&changes);
     let now = context.now();
-    let mut keeper = lock(&context.keeper);
+    let mut keeper = lock(&context.grant_manager);
     match commit {
         Ok(Commit::Done(revision)) => wanted.iter().for_each(|(number, _)| keeper.took(*number, revision)),
         Ok(Commit::Conflict) => keeper.retry(now),
@@ -129,7 +129,7 @@
 
 /// Stops using slots, then deletes them.
 fn drop_slots(context: &Context, slots: &[(u32, u64)]) {
-    let mut keeper = lock(&context.keeper);
+    let mut keeper = lock(&context.grant_manager);
     for (number, _) in slots {
         Keeper::dropped(&mut keeper, *number);
     }
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/instance_list.rs
@@ -20,13 +20,13 @@
     /// What is listed of it.
     pub instance: Arc<Instance>,
     /// Until when it starts slowly.
-    pub starts: Time,
+    pub cold_until: Time,
 }
 
 impl Item {
-    /// An instance that starts slowly until `starts`.
-    pub fn new(instance: Instance, starts: Time) -> Self {
-        Self { id: backend_id(&instance), instance: Arc::new(instance), starts }
+    /// An instance that starts slowly until `cold_until`.
+    pub fn new(instance: Instance, cold_until: Time) -> Self {
+        Self { id: backend_id(&instance), instance: Arc::new(instance), cold_until }
     }
 }
 
@@ -43,15 +43,15 @@
     /// All that is listed.
     pub items: Arc<Vec<Item>>,
     /// When it was read.
-    pub read: Option<Time>,
+    pub read_at: Option<Time>,
     /// Rises with each change.
     pub version: u64,
 }
 
 impl List {
     /// Takes what was read at `now`.
-    pub fn take(&mut self, items: Vec<Item>, now: Time) {
-        self.read = Some(now);
+    pub fn replace(&mut self, items: Vec<Item>, now: Time) {
+        self.read_at = Some(now);
         if *self.items != items {
             self.items = Arc::new(items);
             self.version += 1;
@@ -61,18 +61,18 @@
 
 /// Entries of the store that name servers; each is read again only after it was written anew.
 #[derive(Debug, Clone, Default)]
-pub struct Entries(BTreeMap<String, (u64, Result<Item, String>)>);
+pub struct ServerEntries(BTreeMap<String, (u64, Result<Item, String>)>);
 
-impl Entries {
+impl ServerEntries {
     /// Reads what is new in `mirror`; gives the servers, and why entries were passed over.
     pub fn read(&mut self, mirror: &Mirror, catalog: Catalog, settings: &Settings) -> (Vec<Item>, BTreeSet<String>) {
         let mut known = std::mem::take(&mut self.0);
-        for (key, held) in mirror.range(catalog.folder) {
+        for (key, held) in mirror.range(catalog.server_prefix) {
             let kept = known.remove_entry(key).filter(|(_, (revision, _))| *revision == held.revision);
             let (key, entry) = kept.unwrap_or_else(|| {
-                let name = key.strip_prefix(catalog.folder).unwrap_or(key);
-                let server = (catalog.server)(name, &held.value, settings);
-                let item = server.map(|server| Item::new(server.instance, held.seen + server.starts));
+                let name = key.strip_prefix(catalog.server_prefix).unwrap_or(key);
+                let server = (catalog.parse_server)(name, &held.value, settings);
+                let item = server.map(|server| Item::new(server.instance, held.seen + server.cold_for));
                 let told = item.map_err(|reason| format!("{key} at revision {}: {reason}", held.revision));
                 (key.to_owned(), (held.revision, told))
             });
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,29 +1,29 @@
 //! The entry daemon: plug-ins over the pure decisions.
 
 pub mod adapter;
+pub mod at_most_once;
 pub mod backends;
 pub mod callers;
 pub mod clock;
 pub mod context;
+pub mod decision_log;
 pub mod dialect;
 pub mod driver;
 pub mod grants;
-pub mod life;
-pub mod list;
-pub mod lister;
+pub mod instance_list;
+pub mod lifecycle;
+pub mod list_poller;
 pub mod logs;
 pub mod metrics;
 pub mod mirror;
-pub mod notes;
 pub mod operators;
-pub mod orders;
 pub mod peers;
 pub mod plugin;
 pub mod policies;
+pub mod policy_poller;
 pub mod program;
-pub mod reader;
+pub mod response;
 pub mod stall;
 pub mod view;
-pub mod whole;
 
 pub use context::Context;
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -28,7 +28,7 @@
     Policy(#[from] config::Error),
     /// A part did not start.
     #[error(transparent)]
-    Part(#[from] kernel::Error),
+    Component(#[from] kernel::Error),
     /// The system refused something at the start.
     #[error("start: {0}")]
     System(#[from] std::io::Error),
@@ -132,7 +132,7 @@
 
     fn start_on(runtime: Runtime, settings: Settings, adapter: Adapter) -> Result<Self> {
         let context = Arc::new(Context::new(settings, adapter, runtime.handle().clone()));
-        policies::from_settings(&context)?;
+        policies::apply_from_settings(&context)?;
         let kernel = kernel::Kernel::start(plugin::all(), &context)?;
         let readiness = operators::readiness(&context);
         log::info!(
--- a/crates/daemon/src/lister.rs
+++ b/crates/daemon/src/list_poller.rs
@@ -8,8 +8,8 @@
 
 use crate::Context;
 use crate::context::lock;
-use crate::list::Item;
-use crate::plugin::{Loop, Plugin};
+use crate::instance_list::Item;
+use crate::plugin::{PeriodicThread, Plugin};
 use crate::view;
 
 /// Largest list taken, in bytes.
@@ -30,7 +30,7 @@
     let config = ureq::Agent::config_builder().timeout_global(Some(timeout)).proxy(None).build();
     let agent: ureq::Agent = config.into();
     let context = Arc::clone(context);
-    let running = Loop::start("list", move || {
+    let running = PeriodicThread::start("list", move || {
         match read(&agent, &url) {
             Ok(instances) => take(&context, instances),
             Err(reason) => log::debug!("list: read skipped reason={reason:?}"),
@@ -51,11 +51,11 @@
 /// Takes a list; an empty one is taken for a fault of the platform.
 fn take(context: &Context, instances: Vec<Instance>) {
     let now = context.now();
-    let mut list = lock(&context.list);
+    let mut list = lock(&context.instance_list);
     if instances.is_empty() && !list.items.is_empty() {
         log::warn!("list: empty list skipped known={}", list.items.len());
         return;
     }
     lock(&context.roster).list(&instances);
-    list.take(instances.into_iter().map(|instance| Item::new(instance, Time::ZERO)).collect(), now);
+    list.replace(instances.into_iter().map(|instance| Item::new(instance, Time::ZERO)).collect(), now);
 }
--- a/crates/daemon/src/logs/budget.rs
+++ b/crates/daemon/src/logs/budget.rs
@@ -37,7 +37,7 @@
     }
 
     /// A line that passed could not be written after all.
-    pub const fn note_lost(&mut self, lines: u64) {
+    pub const fn record_lost(&mut self, lines: u64) {
         self.left_out += lines;
     }
 }
--- a/crates/daemon/src/logs/mod.rs
+++ b/crates/daemon/src/logs/mod.rs
@@ -52,7 +52,7 @@
 }
 
 /// Logs each panic of a thread, libraries' own threads among them, besides what is usually done with it.
-pub fn note_panics() {
+pub fn log_panics() {
     let usual = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         let place = panic.location().map(ToString::to_string).unwrap_or_default();
--- a/crates/daemon/src/logs/writer.rs
+++ b/crates/daemon/src/logs/writer.rs
@@ -54,7 +54,7 @@
                 text.extend_from_slice(format!(" {LEFT_OUT_FIELD}={left_out}\n").as_bytes());
             }
             if self.lines.try_send(text).is_err() {
-                self.budget.note_lost(left_out + 1);
+                self.budget.record_lost(left_out + 1);
                 LEFT_OUT.fetch_add(1, Ordering::Relaxed);
             }
         } else {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -5,5 +5,5 @@
 use daemon::adapter::Adapter;
 
 fn main() -> ExitCode {
-    daemon::program::main("hemlockd", Adapter::own())
+    daemon::program::main("hemlockd", Adapter::native())
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -19,7 +19,7 @@
     /// Time to the answer, by class, in seconds.
     pub latency: HistogramVec,
     /// Time from a request's arrival to its first attempt, in seconds.
-    pub waits: Histogram,
+    pub wait_time: Histogram,
     /// Attempts begun, by whether the request was sent before and whether the server knew its object.
     pub sends: IntCounterVec,
     /// Attempts, by ending.
@@ -29,9 +29,9 @@
     /// Backend servers taken out of use for a while.
     pub ejections: IntCounter,
     /// Backend servers that said that they leave before the list did.
-    pub leavings: IntCounter,
+    pub servers_leaving: IntCounter,
     /// Answers of backend servers that want nothing for a while.
-    pub pauses: IntCounter,
+    pub servers_paused: IntCounter,
     /// Times that the process stood still.
     pub stalls: IntCounter,
     /// Bytes of bodies to and from backend servers of other regions, by direction.
@@ -45,7 +45,7 @@
     /// Callers that went away before they were answered.
     pub callers_gone: IntCounter,
     /// Connections made to backend servers.
-    pub connects: IntCounter,
+    pub backend_connects: IntCounter,
     /// Revision of the policy in force.
     pub policy_revision: IntGauge,
     /// Copies of the policy that were refused.
@@ -71,7 +71,7 @@
     /// Log lines left out.
     pub log_lines_left_out: IntGauge,
     /// Slots of the region's grants held.
-    pub grants: IntGauge,
+    pub grant_slots: IntGauge,
     /// Answers given again from memory.
     pub replays: IntCounter,
 }
@@ -84,13 +84,13 @@
             lookups: counter(&registry, "hemlock_lookups_total", "Look-ups answered"),
             requests: counters(&registry, "hemlock_requests_total", "Requests answered", &["class", "result"]),
             latency: histograms(&registry, "hemlock_request_seconds", "Time to the answer", &["class"]),
-            waits: histogram(&registry, "hemlock_wait_seconds", "Time to the first attempt"),
+            wait_time: histogram(&registry, "hemlock_wait_seconds", "Time to the first attempt"),
             sends: counters(&registry, "hemlock_sends_total", "Attempts begun", &["again", "warm"]),
             attempts: counters(&registry, "hemlock_attempts_total", "Attempts ended", &["ending"]),
             attempt_time: histograms(&registry, "hemlock_attempt_seconds", "Time of an attempt", &["ending"]),
             ejections: counter(&registry, "hemlock_ejections_total", "Backend servers taken out of use"),
-            leavings: counter(&registry, "hemlock_servers_leaving_total", "Servers that said that they leave"),
-            pauses: counter(
+            servers_leaving: counter(&registry, "hemlock_servers_leaving_total", "Servers that said that they leave"),
+            servers_paused: counter(
                 &registry,
                 "hemlock_servers_paused_total",
                 "Answers of servers that want nothing for a while",
@@ -106,7 +106,11 @@
             in_flight: gauge(&registry, "hemlock_in_flight", "Attempts in flight"),
             connections: gauge(&registry, "hemlock_connections", "Connections of callers"),
             callers_gone: counter(&registry, "hemlock_callers_gone_total", "Callers gone before their answer"),
-            connects: counter(&registry, "hemlock_backend_connects_total", "Connections made to backend servers"),
+            backend_connects: counter(
+                &registry,
+                "hemlock_backend_connects_total",
+                "Connections made to backend servers",
+            ),
             policy_revision: gauge(&registry, "hemlock_policy_revision", "Revision of the policy in force"),
             policy_refused: counter(&registry, "hemlock_policy_refused_total", "Copies of the policy refused"),
             policy_passed_over: gauge(&registry, "hemlock_policy_passed_over", "Parts of the policy not used"),
@@ -124,7 +128,7 @@
             ),
             peers_age: age(&registry, "hemlock_peers_age_seconds", "Time since a peer answered"),
             log_lines_left_out: gauge(&registry, "hemlock_log_lines_left_out", "Log lines left out since the start"),
-            grants: gauge(&registry, "hemlock_grant_slots", "Slots of the region's grants held"),
+            grant_slots: gauge(&registry, "hemlock_grant_slots", "Slots of the region's grants held"),
             replays: counter(&registry, "hemlock_replays_total", "Answers given again from memory"),
             registry,
         }
--- a/crates/daemon/src/mirror/check.rs
+++ b/crates/daemon/src/mirror/check.rs
@@ -42,7 +42,7 @@
         let now = context.now();
         let watches = upstream(&context, false, now) == Upstream::Store;
         if std::mem::replace(&mut before, watches) != watches {
-            context.learning.choose.notify_one();
+            context.mirror_sync.choose.notify_one();
             liveness = Liveness::new();
         }
         if known == 0 {
@@ -83,7 +83,7 @@
 fn stalled(context: &Context, known: u64) {
     log::warn!("mirror: watch stalled, asked anew revision={known}");
     context.store.reconnect();
-    context.learning.choose.notify_one();
+    context.mirror_sync.choose.notify_one();
 }
 
 /// Asks for the store's revision beside our watch.
@@ -113,7 +113,7 @@
 fn note_confirmed(context: &Context, liveness: &Liveness, known: u64) {
     let Some(as_of) = liveness.confirmed(known) else { return };
     if lock(&context.mirror).confirm(as_of) {
-        context.learning.tell();
+        context.mirror_sync.tell();
     }
 }
 
@@ -141,7 +141,7 @@
             if changed {
                 publish::publish(context, catalog);
             }
-            context.learning.tell();
+            context.mirror_sync.tell();
             Ok(())
         }
         Err(error) => {
--- a/crates/daemon/src/mirror/follow.rs
+++ b/crates/daemon/src/mirror/follow.rs
@@ -49,7 +49,7 @@
                 log::info!("mirror: source is behind name={name} age_ms={:?}", age.map(|age| age.as_millis()));
                 Ok(turn)
             }
-            Err(Unanswered::Starting) if context.settings.fleet.first_start && context.age() < STARTING => {
+            Err(Unanswered::Starting) if context.settings.fleet.first_start && context.uptime() < STARTING => {
                 tokio::time::sleep(SHORTEST_WAIT).await;
                 return Ok(Turn::Same);
             }
@@ -59,7 +59,7 @@
                 Err(Error::Unreachable(reason))
             }
         };
-        lock(&context.learning.avoided).note(name, now);
+        lock(&context.mirror_sync.avoided).note(name, now);
         result
     }
 
@@ -119,7 +119,7 @@
 /// after `wait`; a page of all keys behind `from` at once if that is named.
 pub async fn changes(context: &Arc<Context>, after: u64, from: &str, wait: Duration) -> Option<Changes> {
     let asked = context.now();
-    let mut news = context.learning.news.subscribe();
+    let mut news = context.mirror_sync.news.subscribe();
     let confirmed = confirmed(context, asked);
     let until = tokio::time::Instant::now() + wait.min(LONGEST_WAIT);
     loop {
--- a/crates/daemon/src/mirror/mod.rs
+++ b/crates/daemon/src/mirror/mod.rs
@@ -123,7 +123,7 @@
 fn upstream(context: &Context, all: bool, now: Time) -> Upstream {
     let settings = &context.settings;
     let roster = lock(&context.roster);
-    let avoided = lock(&context.learning.avoided);
+    let avoided = lock(&context.mirror_sync.avoided);
     let in_region = |domain: &str| settings.domains.get(domain) == Some(&settings.region);
     let region: BTreeMap<&str, &str> = roster
         .answering()
@@ -160,14 +160,14 @@
             Ok(Turn::Changed) => {
                 (forgotten, pause) = (false, FIRST_PAUSE);
                 publish::publish(&context, catalog);
-                context.learning.tell();
+                context.mirror_sync.tell();
                 if source == Upstream::Store {
                     tokio::time::sleep(gathering(&context)).await;
                 }
             }
             Ok(Turn::Same) => {
                 (forgotten, pause) = (false, FIRST_PAUSE);
-                context.learning.tell();
+                context.mirror_sync.tell();
             }
             Ok(Turn::Forgotten) => {
                 log::info!("mirror: history forgotten by the store, listing anew");
@@ -182,7 +182,7 @@
                 tokio::time::sleep(waited).await;
                 if lock(&context.mirror).revision() == 0 && ask_anyone(&context, &mut following).await {
                     publish::publish(&context, catalog);
-                    context.learning.tell();
+                    context.mirror_sync.tell();
                 }
                 pause = if member { pause } else { (pause * 2).min(longest) };
             }
@@ -194,7 +194,7 @@
 /// now.
 async fn begin(context: &Arc<Context>, catalog: Catalog, following: &mut follow::Following) {
     let from_peer = async {
-        let mut joined = context.learning.joined.subscribe();
+        let mut joined = context.mirror_sync.joined.subscribe();
         if tokio::time::timeout(JOINING, joined.wait_for(|joined| *joined)).await.is_err() {
             log::info!("mirror: does not wait for peers any longer");
         }
@@ -212,7 +212,7 @@
     };
     if got {
         publish::publish(context, catalog);
-        context.learning.tell();
+        context.mirror_sync.tell();
     }
 }
 
--- a/crates/daemon/src/mirror/publish.rs
+++ b/crates/daemon/src/mirror/publish.rs
@@ -5,7 +5,7 @@
 
 use fleet::Copy;
 
-use crate::adapter::{Catalog, Revised};
+use crate::adapter::{Catalog, PolicyUpdate};
 use crate::context::lock;
 use crate::{Context, peers, policies, view};
 
@@ -14,45 +14,45 @@
 
 /// Puts what the copy says into force.
 pub fn publish(context: &Arc<Context>, catalog: Catalog) {
-    let known = lock(&context.holder).revision();
-    let read = (catalog.policy)(&lock(&context.mirror), &context.settings, known);
+    let known = lock(&context.policy_replica).revision();
+    let read = (catalog.read_policy)(&lock(&context.mirror), &context.settings, known);
     match read {
         Ok(Some(revised)) => offer(context, revised),
         Ok(None) => {}
         Err(reason) => {
-            if lock(&context.servers).policy_refused.replace(reason.clone()) != Some(reason.clone()) {
+            if lock(&context.catalog_state).policy_error.replace(reason.clone()) != Some(reason.clone()) {
                 context.metrics.policy_refused.inc();
                 log::warn!("policy: refused source=store reason={reason:?}");
             }
         }
     }
-    let mut known = lock(&context.servers);
+    let mut known = lock(&context.catalog_state);
     let (items, refused) = known.entries.read(&lock(&context.mirror), catalog, &context.settings);
-    let news = refused.iter().filter(|reason| !known.refused.contains(*reason));
+    let news = refused.iter().filter(|reason| !known.entries_passed_over.contains(*reason));
     news.for_each(|reason| log::warn!("mirror: entry passed over reason={reason:?}"));
     context.metrics.servers_passed_over.set(refused.len() as i64);
-    known.refused = refused;
+    known.entries_passed_over = refused;
     drop(known);
-    lock(&context.list).take(items, context.now());
+    lock(&context.instance_list).replace(items, context.now());
     view::refresh(context);
 }
 
 /// Puts a policy that was read from the store into force, and tells of what was passed over in it.
-fn offer(context: &Arc<Context>, revised: Revised) {
-    let Revised { revision, policy, passed_over } = revised;
+fn offer(context: &Arc<Context>, revised: PolicyUpdate) {
+    let PolicyUpdate { revision, policy, passed_over } = revised;
     match policy.to_text() {
         Ok(text) => {
-            if policies::offer(context, Copy::new(revision, text), "store") {
+            if policies::apply(context, Copy::new(revision, text), "store") {
                 peers::tell_revision(context);
             }
         }
         Err(error) => log::warn!("policy: refused revision={revision} reason={:?}", error.to_string()),
     }
     context.metrics.policy_passed_over.set(passed_over.len() as i64);
-    let mut known = lock(&context.servers);
+    let mut known = lock(&context.catalog_state);
     let news = passed_over.iter().filter(|reason| !known.policy_passed_over.contains(*reason));
     news.for_each(|reason| log::warn!("policy: passed over revision={revision} reason={reason:?}"));
-    known.policy_refused = None;
+    known.policy_error = None;
     known.policy_passed_over = passed_over;
 }
 
--- a/crates/daemon/src/mirror/store.rs
+++ b/crates/daemon/src/mirror/store.rs
@@ -40,7 +40,7 @@
     let wait = Duration::from_millis(context.settings.platform.watch_ms);
     tokio::select! {
         turn = changes_within(context, wait) => turn,
-        () = context.learning.choose.notified() => Ok(Turn::Same),
+        () = context.mirror_sync.choose.notified() => Ok(Turn::Same),
     }
 }
 
@@ -91,7 +91,7 @@
         lock(&context.mirror).note_failure(since);
     } else {
         let now = context.now();
-        context.store_seen.store(now.as_micros(), Ordering::Relaxed);
+        context.store_answered_at.store(now.as_micros(), Ordering::Relaxed);
         let lost = lock(&context.mirror).note_answer(sent, now);
         if lost {
             log::info!("mirror: store answers again silent_ms={}", now.since(sent).as_millis());
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -68,7 +68,7 @@
 /// Whether the daemon is ready, and if not, why.
 pub fn readiness(context: &Context) -> Readiness {
     let mut missing = Vec::new();
-    let prepared = context.rests_on();
+    let prepared = context.prepared();
     if context.stopping() {
         missing.push("stopping");
     }
@@ -186,7 +186,7 @@
     let regions = in_force.regions.len() as u16;
     let row = |from: u16| (0..regions).map(|to| steering.shares.part(from, to)).collect();
     let name = |id: u32| steering.backends.get(&id).map_or_else(|| id.to_string(), |known| known.name.clone());
-    let backends = context.driver.look(|engine| {
+    let backends = context.driver.with_engine(|engine| {
         let backend = |server: &dispatch::backend::Backend| Backend {
             name: name(server.spec.id),
             in_flight: server.in_flight,
@@ -205,25 +205,25 @@
         instance: context.settings.instance.clone(),
         region: context.settings.region.clone(),
         domain: context.settings.domain.clone(),
-        revision: context.rests_on().revision,
+        revision: context.prepared().revision,
         ready: readiness(context),
-        store_silent_s: age_s(&context.store_seen, now),
+        store_silent_s: age_s(&context.store_answered_at, now),
         members,
         entries: steering.view.entries().iter().map(entry).collect(),
         shares: (0..regions).map(row).collect(),
-        grant_share: lock(&context.keeper).share(now),
+        grant_share: lock(&context.grant_manager).share(now),
         backends,
-        open: context.driver.look(dispatch::Engine::open),
-        queued: context.driver.look(dispatch::Engine::queued),
-        poisonous: context.driver.look(|engine| engine.poisonous(now)),
+        open: context.driver.with_engine(dispatch::Engine::open),
+        queued: context.driver.with_engine(dispatch::Engine::queued),
+        poisonous: context.driver.with_engine(|engine| engine.poisonous(now)),
         drains: in_force.policy.drains.clone(),
         passed_over: passed_over(context),
     }
 }
 
 fn passed_over(context: &Context) -> Vec<String> {
-    let known = lock(&context.servers);
-    known.policy_refused.iter().chain(&known.policy_passed_over).chain(&known.refused).cloned().collect()
+    let known = lock(&context.catalog_state);
+    known.policy_error.iter().chain(&known.policy_passed_over).chain(&known.entries_passed_over).cloned().collect()
 }
 
 /// Seconds since `seen`, a time in microseconds of the clock.
@@ -234,9 +234,9 @@
 /// Brings the ages of what is believed up to date.
 fn note_ages(context: &Context) {
     let now = context.now();
-    let listed = lock(&context.list).read.unwrap_or(Time::ZERO);
-    context.metrics.store_age.set(age_s(&context.store_seen, now));
-    context.metrics.peers_age.set(age_s(&context.peers_seen, now));
+    let listed = lock(&context.instance_list).read_at.unwrap_or(Time::ZERO);
+    context.metrics.store_age.set(age_s(&context.store_answered_at, now));
+    context.metrics.peers_age.set(age_s(&context.peer_answered_at, now));
     note_words(context, now);
     context.metrics.list_age.set(now.since(listed).as_secs_f64());
     context.metrics.log_lines_left_out.set(logs::left_out() as i64);
--- a/crates/daemon/src/peers/api.rs
+++ b/crates/daemon/src/peers/api.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use store::Changes;
 
-use crate::whole::Packed;
+use crate::response::WireResponse;
 
 /// What a daemon can say of a key it claimed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
     /// It ran, and this was the answer.
-    Ran(Packed),
+    Ran(WireResponse),
     /// It runs now.
     Running,
     /// It never ran and never will under its claim.
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -7,7 +7,7 @@
 
 use super::api::{PeersClient as _, Word};
 use crate::Context;
-use crate::whole::Whole;
+use crate::response::Response;
 
 /// Largest answer taken from a peer, in bytes.
 const MAX_BYTES: u32 = 2 << 20;
@@ -30,14 +30,14 @@
 }
 
 /// What the daemon at `address` says of a key that its incarnation `incarnation` claimed. Blocks.
-pub fn word(context: &Arc<Context>, address: &str, incarnation: u64, key: u128) -> ledger::make::Word<Arc<Whole>> {
+pub fn word(context: &Arc<Context>, address: &str, incarnation: u64, key: u128) -> ledger::make::Word<Arc<Response>> {
     use ledger::make::Word as Known;
     let Some(client) = client(context, address) else {
         return Known::Unknown;
     };
     let asked = context.runtime.block_on(client.word(incarnation, format!("{key:032x}")));
     match asked {
-        Ok(Word::Ran(packed)) => match Whole::try_from(packed) {
+        Ok(Word::Ran(packed)) => match Response::try_from(packed) {
             Ok(whole) => Known::Ran(Arc::new(whole)),
             Err(error) => {
                 log::warn!("orders: claimant's answer not taken address={address} reason={error}");
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -40,7 +40,7 @@
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         join(&shared).await;
-        shared.learning.note_joined();
+        shared.mirror_sync.note_joined();
         run(&shared).await;
     });
     Ok(Box::new(Exchange(task, Arc::clone(context))))
@@ -48,14 +48,14 @@
 
 /// The message for a peer.
 pub fn message(context: &Context) -> Message {
-    let revision = lock(&context.holder).revision();
+    let revision = lock(&context.policy_replica).revision();
     let now = context.now();
     lock(&context.roster).message(revision, now)
 }
 
 /// The answer to a peer's message.
 pub fn answer(context: &Context, message: &Message) -> Message {
-    let revision = lock(&context.holder).revision();
+    let revision = lock(&context.policy_replica).revision();
     let now = context.now();
     lock(&context.roster).answer(message, revision, now)
 }
@@ -65,14 +65,14 @@
     let now = context.now();
     lock(&context.roster).merge(message, now);
     if !message.losses.is_empty() {
-        let news = context.driver.with(context, |engine| engine.merge_losses(&message.losses, now));
+        let news = context.driver.with_engine_mut(context, |engine| engine.merge_losses(&message.losses, now));
         // A single loss is mostly a connection's own end; told at once by all to all, each one costs more than its request.
         if super::spread_losses(context, &news) {
             super::tell_urgent(context);
         }
     }
     super::spread_leaving(context, &message.leaving);
-    if lock(&context.holder).wants(message.revision) {
+    if lock(&context.policy_replica).wants(message.revision) {
         let address = message.from.peers.clone();
         let context = Arc::clone(context);
         let runtime = context.runtime.clone();
@@ -88,7 +88,7 @@
     match client.exchange(message).await {
         Ok(answer) => {
             context.metrics.exchanges.with_label_values(&["ok"]).inc();
-            context.peers_seen.store(context.now().as_micros(), Ordering::Relaxed);
+            context.peer_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
             take(context, &answer);
         }
         Err(error) => {
@@ -101,13 +101,13 @@
 }
 
 async fn fetch(context: &Arc<Context>, address: &str) {
-    let after = lock(&context.holder).revision();
+    let after = lock(&context.policy_replica).revision();
     let Some(client) = client::client(context, address) else {
         return;
     };
     match client.policy(after).await {
         Ok(Some(copy)) => {
-            if policies::offer(context, copy, address) {
+            if policies::apply(context, copy, address) {
                 super::tell_revision(context);
             }
         }
@@ -154,7 +154,7 @@
     }
     log::info!("peers: joined through peer={seed} members={}", snapshot.records.len());
     if let Some(copy) = snapshot.policy {
-        policies::offer(context, copy, seed);
+        policies::apply(context, copy, seed);
     }
 }
 
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -36,8 +36,9 @@
 pub fn spread_losses(context: &Context, losses: &[(u64, u64)]) -> bool {
     let now = context.now();
     let fingerprints = losses.iter().map(|(fingerprint, _)| *fingerprint);
-    let poison: Vec<(u64, u64)> =
-        context.driver.look(|engine| fingerprints.flat_map(|fingerprint| engine.poison(fingerprint, now)).collect());
+    let poison: Vec<(u64, u64)> = context
+        .driver
+        .with_engine(|engine| fingerprints.flat_map(|fingerprint| engine.poison(fingerprint, now)).collect());
     let mut roster = lock(&context.roster);
     losses.iter().for_each(|loss| roster.losses_mut().spread(*loss, now));
     poison.iter().for_each(|loss| roster.losses_mut().spread_lasting(*loss, now));
@@ -48,7 +49,7 @@
 /// they wait for the usual messages.
 pub fn tell_urgent(context: &Arc<Context>) {
     let now = context.now();
-    if !lock(&context.telling).take(1.0, now) {
+    if !lock(&context.gossip_limiter).take(1.0, now) {
         return;
     }
     let mut roster = lock(&context.roster);
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -13,9 +13,9 @@
 use super::api::{PeersServer, Word};
 use super::exchange;
 use crate::Context;
+use crate::at_most_once;
 use crate::context::lock;
 use crate::mirror;
-use crate::orders;
 use crate::plugin::Plugin;
 
 /// Connections of peers at most.
@@ -39,15 +39,15 @@
     }
 
     async fn policy(&self, after: u64) -> Result<Option<Copy>, ErrorObjectOwned> {
-        let holder = lock(&self.context.holder);
+        let holder = lock(&self.context.policy_replica);
         Ok(holder.copy().filter(|copy| copy.revision > after).cloned())
     }
 
     async fn snapshot(&self) -> Result<Snapshot, ErrorObjectOwned> {
         let records = lock(&self.context.roster).records();
-        let policy = lock(&self.context.holder).copy().cloned();
+        let policy = lock(&self.context.policy_replica).copy().cloned();
         let now = self.context.now();
-        let leaving = self.context.driver.look(|engine| engine.leaving(now).collect());
+        let leaving = self.context.driver.with_engine(|engine| engine.leaving(now).collect());
         let copy = lock(&self.context.mirror).revision() > 0;
         Ok(Snapshot { records, policy, leaving, copy })
     }
@@ -61,7 +61,7 @@
         let (Ok(key), true) = (key, incarnation == self.context.incarnation) else {
             return Ok(Word::Unknown);
         };
-        Ok(match orders::word(&self.context, key) {
+        Ok(match at_most_once::claim_status(&self.context, key) {
             ledger::make::Word::Ran(whole) => Word::Ran(whole.as_ref().clone().into()),
             ledger::make::Word::Running => Word::Running,
             ledger::make::Word::NeverRun => Word::NeverRun,
--- a/crates/daemon/src/plugin.rs
+++ b/crates/daemon/src/plugin.rs
@@ -23,11 +23,11 @@
 
 /// A thread that does the same thing again and again.
 #[derive(Debug)]
-pub struct Loop {
+pub struct PeriodicThread {
     stop: Arc<AtomicBool>,
 }
 
-impl Loop {
+impl PeriodicThread {
     /// Calls `turn` at once and then after each pause that it returns.
     pub fn start<F>(name: &str, mut turn: F) -> Result<Self, String>
     where
@@ -50,7 +50,7 @@
     }
 }
 
-impl kernel::Part for Loop {
+impl kernel::Part for PeriodicThread {
     fn close(&mut self) {
         self.stop();
     }
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -15,7 +15,7 @@
 
 /// A policy with its revision and the names that decisions use by position.
 #[derive(Debug, Clone, Default)]
-pub struct InForce {
+pub struct ActivePolicy {
     /// Revision in the store; zero for a policy of the settings.
     pub revision: u64,
     /// The policy.
@@ -30,14 +30,14 @@
     pub table: Arc<steer::Table>,
 }
 
-impl InForce {
+impl ActivePolicy {
     /// Prepares `policy` at `revision`.
     pub fn new(revision: u64, policy: Policy) -> Self {
-        Self::after(&Self::default(), revision, policy)
+        Self::replacing(&Self::default(), revision, policy)
     }
 
     /// Prepares `policy`; classes and services keep the positions they have in `before`.
-    pub fn after(before: &Self, revision: u64, policy: Policy) -> Self {
+    pub fn replacing(before: &Self, revision: u64, policy: Policy) -> Self {
         let classes = extend(&before.classes, policy.classes.keys());
         let services = extend(&before.services, policy.classes.values().flat_map(Class::services));
         let regions = policy.regions.keys().cloned().collect();
@@ -46,22 +46,22 @@
     }
 
     /// The position of a service.
-    pub fn service(&self, name: &str) -> Option<u16> {
+    pub fn service_position(&self, name: &str) -> Option<u16> {
         self.services.iter().position(|service| service == name).map(|position| position as u16)
     }
 
     /// The position of a region.
-    pub fn region(&self, name: &str) -> Option<u16> {
+    pub fn region_position(&self, name: &str) -> Option<u16> {
         self.regions.iter().position(|region| region == name).map(|position| position as u16)
     }
 
     /// The position of a class.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_position(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == name)
     }
 
     /// What dispatch needs of its classes, by position.
-    pub fn specs(&self) -> Vec<class::Spec> {
+    pub fn class_specs(&self) -> Vec<class::Spec> {
         self.classes.iter().map(|name| self.spec(name)).collect()
     }
 
@@ -71,9 +71,9 @@
             let none = class::Spec::new(0, Duration::from_secs(1));
             return class::Spec { idempotent: false, rank: u8::MAX, may_wait: true, ..none };
         };
-        let service = self.service(&class.service).unwrap_or_default();
+        let service = self.service_position(&class.service).unwrap_or_default();
         let usual = class::Spec::new(service, Duration::from_millis(class.deadline_ms));
-        let split = class.split.iter().filter_map(|(name, weight)| Some((self.service(name)?, *weight)));
+        let split = class.split.iter().filter_map(|(name, weight)| Some((self.service_position(name)?, *weight)));
         class::Spec {
             key: hash::bytes(name.as_bytes()),
             idempotent: class.idempotent,
@@ -82,7 +82,7 @@
             may_wait: class.may_wait,
             tries: if class.tries == 0 { usual.tries } else { class.tries as usize },
             affinity: class.affinity,
-            regions: class.regions.iter().filter_map(|name| self.region(name)).collect(),
+            regions: class.regions.iter().filter_map(|name| self.region_position(name)).collect(),
             split: split.map(|(service, weight)| Part { service, weight }).collect(),
             ..usual
         }
@@ -90,9 +90,9 @@
 }
 
 /// Takes a copy of the policy from the store or a peer; says whether it is now in force.
-pub fn offer(context: &Arc<Context>, copy: Copy, source: &str) -> bool {
+pub fn apply(context: &Arc<Context>, copy: Copy, source: &str) -> bool {
     let revision = copy.revision;
-    let mut holder = lock(&context.holder);
+    let mut holder = lock(&context.policy_replica);
     match holder.offer(copy) {
         Ok(Some(policy)) => {
             put(context, revision, policy);
@@ -112,13 +112,13 @@
 }
 
 /// Puts the policy of the settings into force, if they name one.
-pub fn from_settings(context: &Arc<Context>) -> Result<(), config::Error> {
+pub fn apply_from_settings(context: &Arc<Context>) -> Result<(), config::Error> {
     let path = &context.settings.policy;
     if path.is_empty() {
         return Ok(());
     }
     let policy = Policy::read(Path::new(path))?;
-    let _order = lock(&context.holder);
+    let _order = lock(&context.policy_replica);
     put(context, 0, policy);
     log::info!("policy: in force from the settings file={path}");
     Ok(())
@@ -126,7 +126,7 @@
 
 /// Called with the holder locked, so that policies come into force in the order of their revisions.
 fn put(context: &Arc<Context>, revision: u64, policy: Policy) {
-    let next = InForce::after(&context.policy(), revision, policy);
+    let next = ActivePolicy::replacing(&context.policy(), revision, policy);
     view::adopt(context, Arc::new(next));
     context.metrics.policy_revision.set(revision as i64);
 }
--- a/crates/daemon/src/reader.rs
+++ b/crates/daemon/src/policy_poller.rs
@@ -9,7 +9,7 @@
 
 use crate::Context;
 use crate::context::lock;
-use crate::plugin::{Loop, Plugin};
+use crate::plugin::{PeriodicThread, Plugin};
 use crate::{peers, policies};
 
 /// Turns after which a daemon that learned nothing from anyone reads by itself.
@@ -29,9 +29,9 @@
     let mut rng = fastrand::Rng::with_seed(context.incarnation);
     let mut turns = 0_u32;
     let context = Arc::clone(context);
-    let running = Loop::start("reader", move || {
+    let running = PeriodicThread::start("reader", move || {
         turns = turns.saturating_add(1);
-        let lonely = turns > LONELY_TURNS && lock(&context.holder).revision() == 0;
+        let lonely = turns > LONELY_TURNS && lock(&context.policy_replica).revision() == 0;
         if lonely || lock(&context.roster).reads_store(most) {
             read(&context);
         }
@@ -47,14 +47,14 @@
     context.metrics.store_calls.with_label_values(&["policy", label]).inc();
     match result {
         Ok(Some(entry)) => {
-            context.store_seen.store(context.now().as_micros(), Ordering::Relaxed);
+            context.store_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
             let text = String::from_utf8_lossy(&entry.value).into_owned();
-            if policies::offer(context, Copy::new(entry.revision, text), "store") {
+            if policies::apply(context, Copy::new(entry.revision, text), "store") {
                 peers::tell_revision(context);
             }
         }
         Ok(None) => {
-            context.store_seen.store(context.now().as_micros(), Ordering::Relaxed);
+            context.store_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
             log::debug!("reader: no policy in the store");
         }
         Err(error) => log::debug!("reader: read skipped reason={:?}", error.to_string()),
--- a/crates/daemon/src/program.rs
+++ b/crates/daemon/src/program.rs
@@ -7,7 +7,7 @@
 use lexopt::prelude::{Long, Short, Value};
 
 use crate::adapter::Adapter;
-use crate::{life, logs};
+use crate::{lifecycle, logs};
 
 /// Exit code of a wrong command line or wrong settings.
 const EXIT_USAGE: u8 = 2;
@@ -78,8 +78,8 @@
                 Err(error) => return fail(name, EXIT_USAGE, &error),
             };
             logs::start(&settings);
-            logs::note_panics();
-            if let Err(error) = life::run(&path, settings, adapter) {
+            logs::log_panics();
+            if let Err(error) = lifecycle::run(&path, settings, adapter) {
                 return fail(name, EXIT_FAILED, &error);
             }
         }
--- a/crates/daemon/src/whole.rs
+++ b/crates/daemon/src/response.rs
@@ -7,7 +7,7 @@
 
 /// Status, headers and body, complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Whole {
+pub struct Response {
     /// HTTP status.
     pub status: StatusCode,
     /// Headers that concern the caller.
@@ -16,7 +16,7 @@
     pub body: Bytes,
 }
 
-impl Whole {
+impl Response {
     /// Bytes of memory that the answer takes, roughly.
     pub fn bytes(&self) -> u64 {
         let headers: usize = self.headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
@@ -26,7 +26,7 @@
 
 /// A whole answer between peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Packed {
+pub struct WireResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers that concern the caller.
@@ -35,8 +35,8 @@
     pub body: store::wire::Bytes,
 }
 
-impl From<Whole> for Packed {
-    fn from(whole: Whole) -> Self {
+impl From<Response> for WireResponse {
+    fn from(whole: Response) -> Self {
         let text = |value: &HeaderValue| String::from_utf8_lossy(value.as_bytes()).into_owned();
         let headers = whole.headers.iter().map(|(name, value)| (name.as_str().to_owned(), text(value)));
         Self {
@@ -52,10 +52,10 @@
 #[error("the peer's answer is damaged")]
 pub struct Damaged;
 
-impl TryFrom<Packed> for Whole {
+impl TryFrom<WireResponse> for Response {
     type Error = Damaged;
 
-    fn try_from(packed: Packed) -> Result<Self, Damaged> {
+    fn try_from(packed: WireResponse) -> Result<Self, Damaged> {
         let status = StatusCode::from_u16(packed.status).map_err(|_e| Damaged)?;
         let mut headers = HeaderMap::new();
         for (name, value) in packed.headers {
--- a/crates/daemon/src/stall.rs
+++ b/crates/daemon/src/stall.rs
@@ -32,7 +32,7 @@
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         loop {
-            note(&shared);
+            check(&shared);
             tokio::time::sleep(BEAT).await;
         }
     });
@@ -40,18 +40,18 @@
 }
 
 /// A sign of life; called before anything is decided or sent.
-pub fn note(context: &Arc<Context>) {
+pub fn check(context: &Arc<Context>) {
     let now = context.now();
-    let Some(stood) = lock(&context.stall).beat(now) else { return };
+    let Some(stood) = lock(&context.stall_detector).beat(now) else { return };
     log::warn!("stall: the process stood still, nothing is sent until the store has answered ms={}", stood.as_millis());
     context.metrics.stalls.inc();
-    context.driver.with(context, |engine| engine.doubt(stood, now + DOUBT));
+    context.driver.with_engine_mut(context, |engine| engine.doubt(stood, now + DOUBT));
     let shared = Arc::clone(context);
     context.runtime.spawn(async move {
         let confirmed = tokio::time::timeout(DOUBT, confirm(&shared, now)).await.is_ok();
         view::refresh(&shared);
         let now = shared.now();
-        shared.driver.with(&shared, |engine| engine.trust(now));
+        shared.driver.with_engine_mut(&shared, |engine| engine.trust(now));
         log::info!("stall: goes on confirmed={confirmed}");
     });
 }
@@ -61,7 +61,7 @@
     if context.catalog.is_some() {
         return mirror::confirm(context).await;
     }
-    while lock(&context.list).read.is_none_or(|read| read <= woke) {
+    while lock(&context.instance_list).read_at.is_none_or(|read_at| read_at <= woke) {
         tokio::time::sleep(LOOK).await;
     }
 }
--- a/crates/daemon/src/view/entries.rs
+++ b/crates/daemon/src/view/entries.rs
@@ -12,10 +12,10 @@
 use steer::view::{Entry, Standing};
 
 use crate::Context;
-use crate::policies::InForce;
+use crate::policies::ActivePolicy;
 
 /// Entry instances as they tell of themselves, where no list names them.
-pub fn members(roster: &Roster, in_force: &InForce) -> Vec<Instance> {
+pub fn members(roster: &Roster, in_force: &ActivePolicy) -> Vec<Instance> {
     let instance = |record: Record| {
         let region = in_force.policy.region_of(&record.domain)?.to_owned();
         Some(Instance {
@@ -46,14 +46,14 @@
 }
 
 /// Entry instances that the list or members tell of, each with how it stands.
-pub fn entries(instances: &[&Instance], roster: &Roster, in_force: &InForce, context: &Context) -> Vec<Entry> {
+pub fn entries(instances: &[&Instance], roster: &Roster, in_force: &ActivePolicy, context: &Context) -> Vec<Entry> {
     let listed: Vec<&Instance> = instances.iter().copied().filter(|instance| instance.role == Role::Entry).collect();
     let leaving = listed.iter().filter(|instance| instance.state == Listed::Leaving).count();
     // A list that takes most entry instances away at once is doubted.
     let doubted = leaving * 2 > listed.len();
     let domains: Vec<&String> = in_force.policy.regions.values().flat_map(|region| &region.domains).collect();
     let entry = |instance: &&Instance| {
-        let region = in_force.region(&instance.region)?;
+        let region = in_force.region_position(&instance.region)?;
         let domain = domains.iter().position(|domain| **domain == instance.domain)? as u16;
         let standing = standing(instance, roster, &in_force.policy, doubted);
         let (name, address) = (instance.name.clone(), instance.address.clone());
@@ -63,7 +63,7 @@
     let settings = &context.settings;
     // Without a list the daemon can at least name itself.
     if entries.is_empty()
-        && let Some(region) = in_force.region(&settings.region)
+        && let Some(region) = in_force.region_position(&settings.region)
     {
         let (name, address) = (settings.instance.clone(), settings.callers.address.clone());
         entries.push(Entry { name, address, region, domain: 0, standing: Standing::Good });
@@ -86,11 +86,11 @@
 }
 
 /// Loads of regions, summed over their failure domains.
-pub fn loads(in_force: &InForce, roster: &Roster, view: &View) -> Vec<Load> {
+pub fn loads(in_force: &ActivePolicy, roster: &Roster, view: &View) -> Vec<Load> {
     let policy = &in_force.policy;
     let load = |name: &String| {
         let seen = policy.regions[name].domains.iter().filter_map(|domain| roster.loads().get(domain));
-        let gone = in_force.region(name).is_some_and(|region| !view.has(region));
+        let gone = in_force.region_position(name).is_some_and(|region| !view.has(region));
         let drained = policy.region_drained(name);
         let mut load = Load { busy: 0.0, slots: 0.0, at: Time::ZERO, drained, gone };
         for domain in seen {
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -18,9 +18,9 @@
 use self::servers::Dealing;
 use crate::Context;
 use crate::context::lock;
-use crate::list::Item;
-use crate::notes;
-use crate::policies::InForce;
+use crate::decision_log;
+use crate::instance_list::Item;
+use crate::policies::ActivePolicy;
 
 /// Part of the second sends that are allowed which is used: requests are counted in windows, and views differ.
 const REPEATS_USED: f64 = 0.8;
@@ -83,22 +83,22 @@
 }
 
 /// Puts `next` into force once everything is prepared for it: what is decided by a policy finds its servers.
-pub fn adopt(context: &Arc<Context>, next: Arc<InForce>) {
+pub fn adopt(context: &Arc<Context>, next: Arc<ActivePolicy>) {
     let mut preparing = lock(&context.preparing);
     if next.regions != context.policy().regions {
         let kept = Duration::from_millis(context.settings.callers.answer_kept_ms);
-        *lock(&context.controller) = Controller::new(next.regions.len(), kept, context.now());
+        *lock(&context.shift_controller) = Controller::new(next.regions.len(), kept, context.now());
     }
-    context.driver.with(context, |engine| engine.set_classes(next.specs()));
+    context.driver.with_engine_mut(context, |engine| engine.set_classes(next.class_specs()));
     preparing.basis = None;
     prepare(context, &next, &mut preparing);
-    *context.in_force.write().unwrap_or_else(PoisonError::into_inner) = next;
+    *context.active_policy.write().unwrap_or_else(PoisonError::into_inner) = next;
 }
 
 /// Time alone changes little: the list and the members are gone through only if they changed.
-fn prepare(context: &Arc<Context>, in_force: &InForce, preparing: &mut Preparing) {
+fn prepare(context: &Arc<Context>, in_force: &ActivePolicy, preparing: &mut Preparing) {
     let now = context.now();
-    let list = lock(&context.list).clone();
+    let list = lock(&context.instance_list).clone();
     let roster = lock(&context.roster).digest();
     let basis = Basis { list: list.version, roster, settled: servers::settled(context) };
     let specs = (preparing.basis != Some(basis)).then(|| rebuild(context, in_force, &list.items, preparing));
@@ -107,7 +107,7 @@
     context.pool.keep(|backend| steering.backends.contains_key(&backend), now);
     let remotes = remotes(context, &preparing.slots, in_force, now);
     let extra = extra(context, lock(&context.roster).alive().count() + 1);
-    context.driver.with(context, |engine| {
+    context.driver.with_engine_mut(context, |engine| {
         engine.set_extra(extra);
         for (region, remote) in remotes {
             engine.set_remote(region, remote, now);
@@ -117,11 +117,11 @@
         }
     });
     let policy = !in_force.policy.regions.is_empty();
-    preparing.rests_on = Prepared { revision: in_force.revision, policy, list: list.read.is_some() };
+    preparing.rests_on = Prepared { revision: in_force.revision, policy, list: list.read_at.is_some() };
 }
 
 /// Goes through the list and the members; gives what dispatch needs of the servers.
-fn rebuild(context: &Context, in_force: &InForce, items: &[Item], preparing: &mut Preparing) -> Vec<Spec> {
+fn rebuild(context: &Context, in_force: &ActivePolicy, items: &[Item], preparing: &mut Preparing) -> Vec<Spec> {
     let roster = lock(&context.roster).clone();
     let told = if context.catalog.is_some() { entries::members(&roster, in_force) } else { Vec::new() };
     let instances: Vec<&Instance> = items.iter().map(|item| &*item.instance).chain(&told).collect();
@@ -139,16 +139,16 @@
     }
     let table = Arc::clone(&in_force.table);
     let steering = Steering { table, view, shares: before.shares.clone(), backends: Arc::new(backends) };
-    notes::changed(&before, &steering);
+    decision_log::steering_changed(&before, &steering);
     context.set_steering(steering);
     specs
 }
 
 /// Shifts callers by the loads that are known now; gives the state then in force.
-fn shift(context: &Context, in_force: &InForce, now: Time) -> Arc<Steering> {
+fn shift(context: &Context, in_force: &ActivePolicy, now: Time) -> Arc<Steering> {
     let steering = context.steering();
     let loads = entries::loads(in_force, &lock(&context.roster), &steering.view);
-    let mut controller = lock(&context.controller);
+    let mut controller = lock(&context.shift_controller);
     controller.update(&loads, now);
     if *controller.shares() == steering.shares {
         return steering;
@@ -173,11 +173,11 @@
 }
 
 /// What we may use of other regions: our part of a part that is split between all regions that might.
-fn remotes(context: &Context, slots: &BTreeMap<String, u32>, in_force: &InForce, now: Time) -> Vec<(u16, Remote)> {
+fn remotes(context: &Context, slots: &BTreeMap<String, u32>, in_force: &ActivePolicy, now: Time) -> Vec<(u16, Remote)> {
     if context.settings.dispatch.open_links {
         return (0..in_force.regions.len() as u16).map(|region| (region, Remote::OPEN)).collect();
     }
-    let share = lock(&context.keeper).share(now);
+    let share = lock(&context.grant_manager).share(now);
     let own = &context.settings.region;
     let sources = in_force.regions.len().saturating_sub(1);
     let remote = |name: &String| {
--- a/crates/daemon/src/view/servers.rs
+++ b/crates/daemon/src/view/servers.rs
@@ -10,8 +10,8 @@
 use fleet::roster::Roster;
 
 use crate::Context;
-use crate::list::Item;
-use crate::policies::InForce;
+use crate::instance_list::Item;
+use crate::policies::ActivePolicy;
 
 /// Daemons of a region that may use one backend server, so that its connections are not used up.
 const USERS_PER_BACKEND: usize = 64;
@@ -20,7 +20,7 @@
 
 /// Whether the daemon has had time to hear of the others.
 pub fn settled(context: &Context) -> bool {
-    context.settings.fleet.seeds.is_empty() || context.age() > SETTLE
+    context.settings.fleet.seeds.is_empty() || context.uptime() > SETTLE
 }
 
 /// What falls to this daemon of one server.
@@ -46,7 +46,7 @@
 
 impl Dealing {
     /// Takes the daemons that live now; forgets what was dealt if they are others than before.
-    pub fn update(&mut self, context: &Context, roster: &Roster, in_force: &InForce) {
+    pub fn update(&mut self, context: &Context, roster: &Roster, in_force: &ActivePolicy) {
         let own = hash::bytes(context.settings.instance.as_bytes());
         let domains = in_force.policy.regions.get(&context.settings.region);
         let domains = domains.map(|region| region.domains.as_slice()).unwrap_or_default();
@@ -59,10 +59,12 @@
     }
 
     /// The servers that this daemon uses: its share of those in its region, and all elsewhere.
-    pub fn used<'a>(&mut self, items: &'a [Item], in_force: &InForce) -> Vec<&'a Item> {
+    pub fn used<'a>(&mut self, items: &'a [Item], in_force: &ActivePolicy) -> Vec<&'a Item> {
         let used = |item: &&Item| {
             let Item { id, instance, .. } = item;
-            instance.role == Role::Backend && in_force.service(&instance.service).is_some() && self.dealt(*id).used
+            instance.role == Role::Backend
+                && in_force.service_position(&instance.service).is_some()
+                && self.dealt(*id).used
         };
         items.iter().filter(used).collect()
     }
@@ -79,7 +81,7 @@
     }
 
     /// What dispatch needs of the servers that are used.
-    pub fn specs(&mut self, context: &Context, used: &[&Item], in_force: &InForce) -> Vec<Spec> {
+    pub fn specs(&mut self, context: &Context, used: &[&Item], in_force: &ActivePolicy) -> Vec<Spec> {
         let near = used.iter().filter(|item| item.instance.region == context.settings.region);
         let near: Vec<u64> = near.map(|item| u64::from(item.id)).collect();
         let hosts = subset::hosts(self.own, &self.region, &near);
@@ -88,10 +90,10 @@
             let instance = &*item.instance;
             let policy = &in_force.policy;
             let drained = policy.instance_drained(&instance.name) || policy.servers_drained(&instance.domain);
-            let region = in_force.region(&instance.region)?;
+            let region = in_force.region_position(&instance.region)?;
             Some(Spec {
                 id: item.id,
-                service: in_force.service(&instance.service)?,
+                service: in_force.service_position(&instance.service)?,
                 place: place(context, instance, region),
                 slots: instance.slots,
                 leaving: drained || instance.state == Listed::Leaving,
@@ -103,12 +105,12 @@
         used.iter().filter_map(spec).collect()
     }
 
-    fn start(&mut self, item: &Item, in_force: &InForce) -> Option<Start> {
+    fn start(&mut self, item: &Item, in_force: &ActivePolicy) -> Option<Start> {
         let service = in_force.policy.services.get(&item.instance.service)?;
         let Dealt { part, starter, .. } = self.dealt(item.id);
         let per_second = service.start_per_second * part;
         let phase = hash::unit(hash::pair(self.own, item.id.into()));
-        (service.start_per_second > 0.0).then_some(Start { until: item.starts, per_second, starter, phase })
+        (service.start_per_second > 0.0).then_some(Start { until: item.cold_until, per_second, starter, phase })
     }
 }
 
--- a/crates/daemon/tests/logs.rs
+++ b/crates/daemon/tests/logs.rs
@@ -10,7 +10,7 @@
 use config::configs::Settings;
 use daemon::adapter::Adapter;
 use daemon::logs::{Budget, Buffer, Levels, left_out};
-use daemon::{Context, life};
+use daemon::{Context, lifecycle};
 use log::{Level, LevelFilter, Log, Metadata, Record};
 use rstest::rstest;
 
@@ -90,11 +90,11 @@
 #[test]
 fn a_reload_takes_the_levels_and_bad_settings_change_nothing() {
     let runtime = tokio::runtime::Runtime::new().expect("it starts");
-    let context = Context::new(settings(""), Adapter::own(), runtime.handle().clone());
+    let context = Context::new(settings(""), Adapter::native(), runtime.handle().clone());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("reload.toml");
     let reload = |text: &str| {
         std::fs::write(&path, text).expect("the file can be written");
-        life::reload(&context, &path);
+        lifecycle::reload(&context, &path);
         log::max_level()
     };
     assert_eq!(reload(&format!("log_parts = {{ dispatch = \"debug\" }}\n{SETTINGS}")), LevelFilter::Debug);
@@ -160,7 +160,7 @@
 fn a_panic_of_any_thread_is_a_line_of_the_log() {
     log::set_logger(&PANICS).expect("no other test of this file logs");
     log::set_max_level(LevelFilter::Error);
-    daemon::logs::note_panics();
+    daemon::logs::log_panics();
     assert!(std::thread::spawn(|| panic!("a library's mistake")).join().is_err());
     let lines = PANICS.0.lock().expect("no thread panics with it");
     let told = lines.iter().any(|line| line.starts_with("life: thread panicked place=") && line.contains("library's"));
--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -9,7 +9,7 @@
 use base::instance::{Instance, Role, State};
 use config::configs::Settings;
 use daemon::adapter::Adapter;
-use daemon::life::Daemon;
+use daemon::lifecycle::Daemon;
 use fakes::backend::{Running, Setup};
 use log::kv::{Key, Value, VisitSource};
 use rstest::rstest;
@@ -59,7 +59,7 @@
         );
         let settings = Settings::parse("test", &text).expect("the settings are good");
         let address = settings.callers.address.clone();
-        let daemon = Daemon::start(settings, Adapter::own()).expect("the daemon starts");
+        let daemon = Daemon::start(settings, Adapter::native()).expect("the daemon starts");
         let world = Self { backend, _list: list, store, daemon: Some(daemon), address };
         while !world.talk("GET /stock HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").starts_with("HTTP/1.1 200") {
             std::thread::sleep(Duration::from_millis(20));
@@ -203,7 +203,7 @@
         world.address
     );
     let settings = Settings::parse("test", &text).expect("the settings are good");
-    let error = Daemon::start(settings, Adapter::own()).expect_err("the address is taken").to_string();
+    let error = Daemon::start(settings, Adapter::native()).expect_err("the address is taken").to_string();
     assert!(error.contains("callers.address") && error.contains(&world.address), "{error}");
 }
 
--- a/crates/daemon/tests/view.rs
+++ b/crates/daemon/tests/view.rs
@@ -9,7 +9,7 @@
 use config::policy::Policy;
 use daemon::adapter::Adapter;
 use daemon::context::{Context, lock};
-use daemon::list::Item;
+use daemon::instance_list::Item;
 use daemon::{policies, view};
 use dispatch::engine::Arrival;
 use dispatch::{Action, Ending, Engine};
@@ -45,9 +45,9 @@
 fn context(runtime: &tokio::runtime::Runtime, servers: Vec<Instance>) -> Arc<Context> {
     let settings =
         Settings { instance: "e".to_owned(), domain: "d".to_owned(), region: "r".to_owned(), ..Settings::default() };
-    let context = Context::new(settings, Adapter::own(), runtime.handle().clone());
+    let context = Context::new(settings, Adapter::native(), runtime.handle().clone());
     let items = servers.into_iter().map(|server| Item::new(server, Time::ZERO)).collect();
-    lock(&context.list).take(items, context.now());
+    lock(&context.instance_list).replace(items, context.now());
     Arc::new(context)
 }
 
@@ -77,9 +77,10 @@
                 });
             }
             start.wait();
-            assert!(policies::offer(&context, policy(revision), "test"));
+            assert!(policies::apply(&context, policy(revision), "test"));
         });
-        let leaving = context.driver.look(|engine| engine.backends().filter(|server| server.spec.leaving).count());
+        let leaving =
+            context.driver.with_engine(|engine| engine.backends().filter(|server| server.spec.leaving).count());
         if leaving != usize::from(drained(revision)) {
             stale.push(revision);
         }
@@ -122,8 +123,9 @@
                     continue;
                 }
                 seen = in_force.revision;
-                let class = in_force.class(&format!("c{seen}")).expect("it is in force");
-                let started = context.driver.with(&context, |engine| send(engine, seen, class, context.now()));
+                let class = in_force.class_position(&format!("c{seen}")).expect("it is in force");
+                let started =
+                    context.driver.with_engine_mut(&context, |engine| send(engine, seen, class, context.now()));
                 // A class that went out of force meanwhile may get no work.
                 if !started && context.policy().revision == seen {
                     refused.push(seen);
@@ -132,7 +134,7 @@
             refused
         });
         for revision in 1..=ROUNDS {
-            assert!(policies::offer(&context, growing(revision), "test"));
+            assert!(policies::apply(&context, growing(revision), "test"));
         }
         asking.join().expect("a request of a class in force is no fault")
     });
@@ -147,16 +149,16 @@
     let entry = Instance { name: "e2".to_owned(), role: Role::Entry, ..server(100, String::new()) };
     servers.push(entry);
     let context = context(&runtime, servers);
-    assert!(policies::offer(&context, policy(1), "test"));
+    assert!(policies::apply(&context, policy(1), "test"));
     let before = context.steering();
     view::refresh(&context);
     assert!(Arc::ptr_eq(&before, &context.steering()), "nothing changed");
 
-    let fewer = lock(&context.list).items.iter().skip(1).cloned().collect();
-    lock(&context.list).take(fewer, context.now());
+    let fewer = lock(&context.instance_list).items.iter().skip(1).cloned().collect();
+    lock(&context.instance_list).replace(fewer, context.now());
     view::refresh(&context);
     let backends = |context: &Context| context.steering().backends.len();
-    let known = context.driver.look(|engine| engine.backends().count());
+    let known = context.driver.with_engine(|engine| engine.backends().count());
     assert_eq!((backends(&context), known), (8, 8), "a server left the list");
 
     let gone = Record { name: "e2".to_owned(), state: Standing::Left, ..lock(&context.roster).own().clone() };
