--- a/crates/daemon/src/at_most_once.rs
+++ b/crates/daemon/src/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Running an order at most once: the ledger, the store and the peers together.
+//! Runs a request with an idempotency key at most once, by the local ledger, claims in the store, and the claimants'
+//! answers to peers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -17,103 +18,107 @@
 use crate::peers;
 use crate::response::Response;
 
-/// Time before a request's deadline at which its claim is given up, in milliseconds.
+/// An attempt to acquire a claim ends this long before the request's deadline, in milliseconds.
 const CLAIM_MARGIN_MS: u64 = 20;
-/// Time for which one lease serves the claims of this daemon.
-const LEASE_SPAN: Duration = Duration::from_hours(1);
+/// How long new claims are attached to one lease before the next is granted. The lease outlives this by the retention of
+/// claims.
+const LEASE_USE: Duration = Duration::from_hours(1);
 
-/// A request that must run at most once.
+/// A non-idempotent request with an idempotency key, which must run at most once.
 #[derive(Debug)]
 pub struct KeyedRequest {
-    /// Hash of its idempotency key.
+    /// Hash of the idempotency key and its session, see [`key_hash`].
     pub key: u128,
-    /// Fingerprint of the request.
+    /// Fingerprint of method, target and body; a key that is reused for another request is refused by it.
     pub fingerprint: u64,
-    /// Whether its key belongs to a session of this incarnation.
+    /// Whether the key belongs to a session of this incarnation; such a key needs no claim in the store.
     pub in_session: bool,
-    /// Revision of its claim in the store, once made.
+    /// Revision of the claim in the store; `None` until it is acquired.
     pub claim_revision: Mutex<Option<u64>>,
-    /// The answer of an earlier send, if a peer had it.
+    /// The answer to an earlier send of the request, if the daemon that ran it returned one.
     pub earlier_response: Mutex<Option<Arc<Response>>>,
 }
 
-/// The lease that new claims hang on. It is never renewed: the store itself removes claims when it ends.
+/// The lease that new claims are attached to. It is never renewed: the store removes the claims when it expires.
 #[derive(Debug, Clone, Copy)]
 pub struct ClaimLease {
     lease: Lease,
-    made: Time,
+    granted_at: Time,
 }
 
-/// Hash of an idempotency key; a key of a session differs from the same key without.
+/// Returns the hash of an idempotency key; a key within a session differs from the same key without one.
 pub fn key_hash(session: Option<&str>, key: &str) -> u128 {
     hash::wide(format!("{}\n{key}", session.unwrap_or_default()).as_bytes())
 }
 
-/// What to do with an order that came.
-pub fn begin(context: &Context, order: &KeyedRequest) -> Step<Arc<Response>> {
+/// Registers a request with the ledger; returns how to proceed with it.
+pub fn begin(context: &Context, request: &KeyedRequest) -> Step<Arc<Response>> {
     let now = context.now();
-    lock(&context.ledger).begin(order.key, order.fingerprint, order.in_session, now)
+    lock(&context.ledger).begin(request.key, request.fingerprint, request.in_session, now)
 }
 
-/// Makes sure that the order's claim is ours before anything is sent.
-pub fn claim(context: &Arc<Context>, order: &KeyedRequest, deadline: Time) -> Result<(), Kind> {
-    if order.in_session || lock(&order.claim_revision).is_some() {
+/// Acquires the claim on the request's key, unless it is held already or not needed. Called before anything is sent;
+/// blocks on the store.
+pub fn claim(context: &Arc<Context>, request: &KeyedRequest, deadline: Time) -> Result<(), Kind> {
+    if request.in_session || lock(&request.claim_revision).is_some() {
         return Ok(());
     }
-    lock(&context.ledger).claiming(order.key);
-    let held = make(context, order, deadline);
+    lock(&context.ledger).claiming(request.key);
+    let held = acquire(context, request, deadline);
     if let Held::Ours(revision) = &held {
-        *lock(&order.claim_revision) = Some(*revision);
+        *lock(&request.claim_revision) = Some(*revision);
     }
     let now = context.now();
-    match lock(&context.ledger).claimed(order.key, held, now) {
+    match lock(&context.ledger).claimed(request.key, held, now) {
         Step::Run => Ok(()),
         Step::Refuse(kind) => Err(kind),
-        Step::Replay(whole) => {
-            *lock(&order.earlier_response) = Some(whole);
+        Step::Replay(response) => {
+            *lock(&request.earlier_response) = Some(response);
             Err(Kind::AlreadyClaimed)
         }
         Step::Claim => Err(Kind::ClaimUnavailable),
     }
 }
 
-/// Ends an order and gives what its caller is told.
-pub fn finish(context: &Arc<Context>, order: &KeyedRequest, outcome: Outcome) -> Outcome {
-    if let Some(earlier) = lock(&order.earlier_response).take() {
+/// Records the end of a request in the ledger and returns the outcome for its caller: the answer to an earlier send if
+/// there was one.
+pub fn finish(context: &Arc<Context>, request: &KeyedRequest, outcome: Outcome) -> Outcome {
+    if let Some(earlier) = lock(&request.earlier_response).take() {
         context.metrics.replays.inc();
         return Ok(earlier);
     }
     let now = context.now();
     let mut ledger = lock(&context.ledger);
     match &outcome {
-        Ok(whole) => ledger.ran(order.key, Arc::clone(whole), whole.bytes(), now),
+        Ok(response) => ledger.ran(request.key, Arc::clone(response), response.bytes(), now),
         Err(refusal) => {
-            let release = ledger.failed(order.key, refusal.kind, now);
+            let release = ledger.failed(request.key, refusal.kind, now);
             drop(ledger);
             if release {
-                self::release(context, order);
+                release_claim(context, request);
             }
         }
     }
     outcome
 }
 
-/// What this daemon can tell a peer of a key.
+/// Returns what this daemon knows of a key that it claimed, for a peer. A key that never ran
+/// here never will from then on, as the peer takes it over.
 pub fn claim_status(context: &Context, key: u128) -> Word<Arc<Response>> {
     let now = context.now();
     lock(&context.ledger).word(key, now)
 }
 
-/// Makes the claim at the store, asking the claimant if there is another.
-fn make(context: &Arc<Context>, order: &KeyedRequest, deadline: Time) -> Held<Arc<Response>> {
+/// Writes the claim to the store; if another daemon holds it, asks that daemon whether the request ran.
+fn acquire(context: &Arc<Context>, request: &KeyedRequest, deadline: Time) -> Held<Arc<Response>> {
     let give_up = deadline - Duration::from_millis(CLAIM_MARGIN_MS);
-    let unsent = lock(&context.ledger).unsent(order.key);
-    let maker = Maker::new(context.incarnation, order.fingerprint, unsent, give_up);
+    let unsent = lock(&context.ledger).unsent(request.key);
+    let maker = Maker::new(context.incarnation, request.fingerprint, unsent, give_up);
     let mut progress = maker.first();
     loop {
         match progress {
             Progress::Call(call) => {
-                let reply = perform(context, order, call);
+                let reply = perform(context, request, call);
                 progress = maker.next(reply, context.now());
             }
             Progress::End(held) => return held,
@@ -121,13 +126,13 @@
     }
 }
 
-fn perform(context: &Arc<Context>, order: &KeyedRequest, call: Call) -> Reply<Arc<Response>> {
-    let name = key::claim(order.key);
+fn perform(context: &Arc<Context>, request: &KeyedRequest, call: Call) -> Reply<Arc<Response>> {
+    let name = key::claim(request.key);
     let reply = match call {
-        Call::Write(expect) => write(context, order, &name, expect),
-        Call::Read => read(context, &name),
+        Call::Write(expect) => write_claim(context, request, &name, expect),
+        Call::Read => read_claim(context, &name),
         Call::Ask(claim, revision) => {
-            let word = peers::client::word(context, &claim.peers, claim.incarnation, order.key);
+            let word = peers::client::word(context, &claim.peers, claim.incarnation, request.key);
             return Reply::Said(word, revision);
         }
     };
@@ -137,13 +142,14 @@
     reply
 }
 
-fn write(context: &Context, order: &KeyedRequest, name: &str, expect: u64) -> Reply<Arc<Response>> {
-    let Ok(lease) = lease(context) else {
+/// Writes the claim `name` if its revision is `expect`; zero means that it must be absent.
+fn write_claim(context: &Context, request: &KeyedRequest, name: &str, expect: u64) -> Reply<Arc<Response>> {
+    let Ok(lease) = claim_lease(context) else {
         return Reply::Unsent;
     };
     let claim = Claim {
         incarnation: context.incarnation,
-        fingerprint: order.fingerprint,
+        fingerprint: request.fingerprint,
         peers: context.settings.fleet.address.clone(),
     };
     let change = Change::set(name, expect, claim.to_bytes()).with_lease(lease);
@@ -152,14 +158,14 @@
         Ok(Commit::Conflict) => Reply::Conflict,
         Err(Error::Ambiguous(_)) => Reply::Lost,
         Err(Error::Unreachable(_) | Error::Refused(_)) => {
-            // A refused write may mean that the lease is gone.
+            // A refused write may mean that the lease has expired.
             *lock(&context.claim_lease) = None;
             Reply::Unsent
         }
     }
 }
 
-fn read(context: &Context, name: &str) -> Reply<Arc<Response>> {
+fn read_claim(context: &Context, name: &str) -> Reply<Arc<Response>> {
     match context.store.read(name) {
         Ok(None) => Reply::Found(None),
         Ok(Some(entry)) => match Claim::parse(&entry.value) {
@@ -170,23 +176,24 @@
     }
 }
 
-/// The lease for claims made now.
-fn lease(context: &Context) -> store::Result<Lease> {
+/// Returns the lease for claims that are written now; grants a new one once the last was used for
+/// [`LEASE_USE`].
+fn claim_lease(context: &Context) -> store::Result<Lease> {
     let now = context.now();
-    let mut span = lock(&context.claim_lease);
-    if let Some(span) = span.filter(|span| now.since(span.made) < LEASE_SPAN) {
-        return Ok(span.lease);
+    let mut current = lock(&context.claim_lease);
+    if let Some(current) = current.filter(|current| now.since(current.granted_at) < LEASE_USE) {
+        return Ok(current.lease);
     }
-    let kept = Duration::from_secs(context.settings.platform.claim_kept_s);
-    let lease = context.store.grant(kept + LEASE_SPAN)?;
-    *span = Some(ClaimLease { lease, made: now });
+    let retention = Duration::from_secs(context.settings.platform.claim_kept_s);
+    let lease = context.store.grant(retention + LEASE_USE)?;
+    *current = Some(ClaimLease { lease, granted_at: now });
     Ok(lease)
 }
 
-/// Deletes the claim of an order that never ran, so that it can be sent again anywhere.
-fn release(context: &Arc<Context>, order: &KeyedRequest) {
-    let Some(revision) = *lock(&order.claim_revision) else { return };
-    let key = order.key;
+/// Deletes the claim of a request that never ran, so that the caller can send it again to any daemon.
+fn release_claim(context: &Arc<Context>, request: &KeyedRequest) {
+    let Some(revision) = *lock(&request.claim_revision) else { return };
+    let key = request.key;
     let context = Arc::clone(context);
     let runtime = context.runtime.clone();
     runtime.spawn_blocking(move || {
@@ -197,12 +204,13 @@
     });
 }
 
-/// The ledger's word for a claim that nobody tried to make.
-pub fn withdraw(context: &Context, order: &KeyedRequest) {
+/// Ends the claim of a request that ended while the ledger still counts it as being claimed, usually because no attempt
+/// was made. Otherwise later sends of the key would be refused as still running.
+pub fn withdraw(context: &Context, request: &KeyedRequest) {
     let now = context.now();
     let mut ledger = lock(&context.ledger);
-    if ledger.unsent(order.key) {
-        let step = ledger.claimed(order.key, Held::Silent, now);
+    if ledger.unsent(request.key) {
+        let step = ledger.claimed(request.key, Held::Silent, now);
         log::debug!("orders: claim withdrawn step={step:?}");
     }
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,4 +1,4 @@
-//! What all plug-ins share.
+//! The state that all plug-ins share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -34,19 +34,20 @@
 use crate::response::Response;
 use crate::view::{Prepared, Preparing, Steering};
 
-/// Keys of sessions remembered at most.
-const SESSION_KEYS: usize = 65_536;
+/// Most idempotency keys of sessions that the ledger holds.
+const MAX_SESSION_KEYS: usize = 65_536;
 
-/// What is known of backend servers beside the list of instances.
+/// What was last read from the platform's store: entries of backend servers, and what could not be used of them and of
+/// the policy.
 #[derive(Debug, Clone, Default)]
 pub struct CatalogState {
-    /// Entries of the store as they were read last.
+    /// Entries of backend servers as last read; each is parsed again only after it changed.
     pub entries: ServerEntries,
-    /// Why entries were passed over.
+    /// Why entries were skipped, one reason each.
     pub entries_passed_over: BTreeSet<String>,
-    /// Why the policy was refused last.
+    /// Why the policy in the store was refused; `None` once one was accepted.
     pub policy_error: Option<String>,
-    /// What of the policy cannot be used or is not known.
+    /// Items of the policy in force that cannot be used or are unknown, one reason each.
     pub policy_passed_over: BTreeSet<String>,
 }
 
@@ -55,69 +56,68 @@
 pub struct Context {
     /// Settings of this daemon.
     pub settings: Settings,
-    /// What callers and backend servers call the things that cross the wire.
+    /// Names of headers and paths on the wire to callers and backend servers.
     pub dialect: Arc<Dialect>,
-    /// Notices that the process stood still.
+    /// Detects that the process was suspended or did not run.
     pub stall_detector: Mutex<Stall>,
-    /// The clock.
+    /// The clock of all times in this state.
     pub clock: Clock,
-    /// When the process started.
     started_at: Time,
-    /// Random number of this process; no two are equal.
+    /// Random number of this process, so that no two runs of a daemon are equal; never zero.
     pub incarnation: u64,
-    /// Runs the sockets of callers and peers.
+    /// The event loop, which runs the sockets of callers, peers and backend servers.
     pub runtime: tokio::runtime::Handle,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: store::Client,
-    /// Reads policy and backend servers from the store, if the platform keeps them there.
+    /// Parser of policy and backend servers in the store; `None` if the platform does not keep them there.
     pub catalog: Option<Catalog>,
-    /// A copy of the store's keys, if the platform keeps policy and backend servers there.
+    /// Copy of the store's keys; stays empty without a catalog.
     pub mirror: Mutex<store::Mirror>,
-    /// How that copy learns of changes.
+    /// How that copy is kept up to date.
     pub mirror_sync: Learning,
-    /// What is known of backend servers beside the list of instances.
+    /// Backend servers as last read from that copy, beside `instance_list`, and what was skipped.
     pub catalog_state: Mutex<CatalogState>,
-    /// The policy in force, with its copy for peers.
+    /// The policy document in force, as peers may fetch it.
     pub policy_replica: Mutex<Holder>,
     /// The policy in force, parsed.
     pub active_policy: RwLock<Arc<ActivePolicy>>,
-    /// Membership and loads.
+    /// Gossip membership, and the loads, losses and leaving servers that are gossiped.
     pub roster: Mutex<Roster>,
-    /// Bounds how often peers are told at once of losses and of leaving servers.
+    /// Limits how often losses and leaving servers are sent to peers at once instead of with the next exchange.
     pub gossip_limiter: Mutex<Bucket>,
-    /// Shares of links and other regions.
+    /// This daemon's slots of the links to other regions and of capacity there.
     pub grant_manager: Mutex<Keeper>,
-    /// Shifts of callers between regions.
+    /// Shifts callers between regions by load.
     pub shift_controller: Mutex<Controller>,
-    /// What look-ups read.
+    /// State that look-ups and dispatch read; replaced as a whole.
     pub steering: RwLock<Arc<Steering>>,
-    /// Held while the state is prepared, so that an older state never follows a newer one.
+    /// Locked while `steering` is prepared, so that an older state never replaces a newer one.
     pub preparing: Mutex<Preparing>,
-    /// Instances in the platform's list.
+    /// Instances that the platform lists.
     pub instance_list: Mutex<List>,
-    /// Answers of backend servers that are being read.
+    /// Memory budget for backend servers' answers that are being read.
     pub answer_memory: Room,
     /// Idle connections to backend servers.
     pub pool: Pool,
-    /// Requests under way.
+    /// The dispatch engine with the requests in flight.
     pub driver: Driver,
-    /// Keys of non-idempotent requests.
+    /// Idempotency keys of non-idempotent requests, with the answers kept for re-sends.
     pub ledger: Mutex<Ledger<Arc<Response>>>,
-    /// The lease that new claims hang on.
+    /// The lease that new claims are attached to; `None` before the first claim and after a refused write.
     pub claim_lease: Mutex<Option<ClaimLease>>,
-    /// Service-level counts by class.
+    /// Good and bad answers over time, by class, for the service-level report.
     pub burn: Mutex<BTreeMap<String, burn::Series>>,
-    /// Counters for operators.
+    /// Metrics for operators.
     pub metrics: Metrics,
-    /// The last time the store answered, in microseconds of the clock.
+    /// When the store last answered, in microseconds of the clock; zero if it never did.
     pub store_answered_at: AtomicU64,
-    /// The last time a peer answered, in microseconds of the clock.
+    /// When a peer last answered, in microseconds of the clock; zero if none ever did.
     pub peer_answered_at: AtomicU64,
     stopping: AtomicBool,
 }
 
 impl Context {
-    /// The state of a daemon that starts with `settings`.
+    /// Creates the state of a daemon that starts with `settings`.
     pub fn new(settings: Settings, adapter: Adapter, runtime: tokio::runtime::Handle) -> Self {
         let clock = Clock::new();
         let now = clock.now();
@@ -139,12 +139,12 @@
             poison: Duration::from_secs(settings.dispatch.poison_s),
             extra: Extra::DEFAULT,
         };
-        let keys = ledger::table::Limits {
+        let ledger_limits = ledger::table::Limits {
             kept: Duration::from_secs(settings.platform.claim_kept_s),
-            session_keys: SESSION_KEYS,
+            session_keys: MAX_SESSION_KEYS,
             answer_bytes: settings.dispatch.kept_answers_bytes,
         };
-        let kept = Duration::from_millis(settings.callers.answer_kept_ms);
+        let answer_ttl = Duration::from_millis(settings.callers.answer_kept_ms);
         let address = &settings.platform.address;
         let store = store::Client::with_runtime(adapter.codec, address, timeout, runtime.clone());
         Self {
@@ -164,14 +164,14 @@
             roster: Mutex::new(Roster::new(record, times, incarnation)),
             gossip_limiter: Mutex::new(peers::telling(now)),
             grant_manager: Mutex::new(Keeper::new()),
-            shift_controller: Mutex::new(Controller::new(0, kept, now)),
+            shift_controller: Mutex::new(Controller::new(0, answer_ttl, now)),
             steering: RwLock::new(Arc::new(Steering::default())),
             preparing: Mutex::new(Preparing::default()),
             instance_list: Mutex::new(List::default()),
             answer_memory: Room::new(settings.dispatch.answers_bytes as usize),
             pool: Pool::new(),
             driver: Driver::new(Engine::new(Vec::new(), limits, incarnation)),
-            ledger: Mutex::new(Ledger::new(keys)),
+            ledger: Mutex::new(Ledger::new(ledger_limits)),
             claim_lease: Mutex::new(None),
             burn: Mutex::new(BTreeMap::new()),
             metrics: Metrics::new(),
@@ -182,61 +182,62 @@
         }
     }
 
-    /// The present time.
+    /// Returns the present time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Time since this process started.
+    /// Returns the time since this process started.
     pub fn uptime(&self) -> Duration {
         self.now().since(self.started_at)
     }
 
-    /// The policy in force.
+    /// Returns the policy in force.
     pub fn policy(&self) -> Arc<ActivePolicy> {
         Arc::clone(&self.active_policy.read().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// What look-ups read.
+    /// Returns the state that look-ups and dispatch read.
     pub fn steering(&self) -> Arc<Steering> {
         Arc::clone(&self.steering.read().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// What the prepared state rests on.
+    /// Returns what the state in `steering` was prepared from.
     pub fn prepared(&self) -> Prepared {
         lock(&self.preparing).rests_on
     }
 
-    /// Puts a prepared state in the place of the one before.
+    /// Replaces the state that look-ups and dispatch read.
     pub fn set_steering(&self, steering: Steering) {
         *self.steering.write().unwrap_or_else(std::sync::PoisonError::into_inner) = Arc::new(steering);
     }
 
-    /// A port of the event loop at `address`.
+    /// Opens a listening socket at `address` on the event loop.
     pub fn listen(&self, address: &str) -> std::io::Result<tokio::net::TcpListener> {
         let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
-        let _inside = self.runtime.enter();
+        let _guard = self.runtime.enter();
         tokio::net::TcpListener::from_std(listener)
     }
 
-    /// Whether the daemon was told to stop.
+    /// Whether the daemon is stopping.
     pub fn stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Tells the daemon to stop.
+    /// Marks the daemon as stopping; the plug-ins read this mark.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// The session that callers may name: it ends with this process.
+    /// Returns the id of the session that callers may name with their idempotency keys; it ends with this process.
     pub fn session(&self) -> String {
         format!("{:016x}", self.incarnation)
     }
 }
 
-/// Locks `mutex`; state behind a panic elsewhere is still whole, since no decision panics half-way.
+/// Locks `mutex`, also after a thread panicked while it held the lock: the state is still consistent, since no decision
+/// panics half-way.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -1,4 +1,4 @@
-//! Carries the engine's actions out.
+//! Feeds the dispatch engine with requests, answers and time, and carries out its actions.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,8 +24,8 @@
 use crate::response::Response;
 use crate::stall;
 
-/// Longest sleep of the timer.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+/// Longest sleep of the timer between two checks of the engine's next wakeup.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "dispatch", stage: 20, start })
@@ -34,47 +34,47 @@
 /// A caller's request, ready to be sent to a backend server.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// Its number.
+    /// Number of the request, unique in this process.
     pub number: u64,
-    /// Its name in logs: the caller's id of this send if it gives one.
+    /// The request's id in logs: the caller's id of this send if it gives one, else one of this daemon.
     pub id: String,
-    /// The object that it is about, as the caller names it; a dash for none.
+    /// The object that the request is about, as the caller names it; a dash for none.
     pub object: String,
     /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// Headers that concern the backend server.
+    /// Headers to pass on to the backend server.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// When the caller waits no longer, if it says so.
+    /// When the caller stops waiting; `None` if it names no deadline.
     pub caller_deadline: Option<Time>,
-    /// Whether running it twice is harmless.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// Set for a request that must run at most once.
+    /// Idempotency key and claim of a request that must run at most once; `None` for any other.
     pub keyed: Option<KeyedRequest>,
 }
 
-/// What dispatch has to know of a request.
+/// Properties of a request that the engine decides by.
 #[derive(Debug, Clone, Copy)]
 pub struct Submission {
-    /// Its class, by position.
+    /// Position of the request's class in the active policy.
     pub class: usize,
-    /// Its fingerprint: equal for a request that is sent again.
+    /// Fingerprint of the request, equal when the caller sends it again.
     pub fingerprint: u64,
-    /// How long the caller waits, if it says so.
+    /// How long the caller waits; `None` if it names no deadline.
     pub limit: Option<Duration>,
-    /// The object that it is about, hashed.
+    /// Hash of the object that the request is about; `None` for none.
     pub object: Option<u64>,
 }
 
-/// Why a caller's request is not answered by a backend server.
+/// Why a caller's request gets no answer of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// The kind of error.
+    /// Kind of the error.
     pub kind: Kind,
-    /// When the caller should come back, if not after the kind's usual time.
+    /// Time after which the caller should retry; `None` for the default of the kind.
     pub retry_after: Option<Duration>,
 }
 
@@ -84,56 +84,59 @@
     }
 }
 
-/// What a caller's request comes to.
+/// The result of a caller's request: a backend server's answer or a refusal.
 pub type Outcome = Result<Arc<Response>, Refusal>;
 
+/// A request that its caller waits for.
 #[derive(Debug)]
 struct Pending {
     outgoing: Arc<Outgoing>,
     reply: oneshot::Sender<Outcome>,
-    /// When it came.
-    came: Time,
+    arrived_at: Time,
 }
 
-/// An attempt under way.
+/// An attempt in flight.
 #[derive(Debug)]
 struct Running {
     outgoing: Arc<Outgoing>,
-    begun: Time,
+    started_at: Time,
     task: AbortHandle,
 }
 
-/// Requests under way.
+/// The engine with the requests and attempts in flight.
 #[derive(Debug)]
 pub struct Driver {
     engine: Mutex<Engine>,
+    /// Requests that are not answered yet, by their number.
     pending: Mutex<BTreeMap<u64, Pending>>,
+    /// Answers by attempt, kept only while the engine decides on them.
     answers: Mutex<BTreeMap<u64, Arc<Response>>>,
-    /// Attempts under way.
+    /// Attempts in flight, by their number.
     running: Mutex<BTreeMap<u64, Running>>,
-    next: AtomicU64,
+    next_number: AtomicU64,
+    /// Notified after each change of the engine, whose next wakeup may be another one then.
     changed: Notify,
 }
 
 impl Driver {
-    /// A driver of `engine`.
+    /// Creates a driver of `engine`.
     pub const fn new(engine: Engine) -> Self {
         Self {
             engine: Mutex::new(engine),
             pending: Mutex::new(BTreeMap::new()),
             answers: Mutex::new(BTreeMap::new()),
             running: Mutex::new(BTreeMap::new()),
-            next: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             changed: Notify::const_new(),
         }
     }
 
-    /// A number for a new request.
+    /// Returns a number for a new request.
     pub fn next_request_number(&self) -> u64 {
-        self.next.fetch_add(1, Ordering::Relaxed)
+        self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Takes a request in; its outcome comes through the receiver.
+    /// Submits a request to the engine; its outcome arrives through the returned receiver.
     pub fn submit(
         &self,
         context: &Arc<Context>,
@@ -146,45 +149,45 @@
         let arrival = Arrival { request: outgoing.number, class, fingerprint, bytes, limit, object };
         stall::check(context);
         let now = context.now();
-        lock(&self.pending).insert(outgoing.number, Pending { outgoing, reply, came: now });
+        lock(&self.pending).insert(outgoing.number, Pending { outgoing, reply, arrived_at: now });
         self.with_engine_mut(context, |engine| engine.submit(arrival, now));
         outcome
     }
 
-    /// The caller of `request` went away.
+    /// Drops `request`, whose caller disconnected.
     pub fn abandon(&self, context: &Arc<Context>, request: u64) {
         let now = context.now();
         if let Some(pending) = lock(&self.pending).remove(&request) {
             context.metrics.callers_gone.inc();
-            decision_log::caller_disconnected(&pending.outgoing, now.since(pending.came));
+            decision_log::caller_disconnected(&pending.outgoing, now.since(pending.arrived_at));
         }
         self.with_engine_mut(context, |engine| engine.abandon(request, now));
     }
 
-    /// An attempt ended; `whole` is its answer, if it has one.
-    pub fn finish(&self, context: &Arc<Context>, attempt: u64, ending: Ending, whole: Option<Arc<Response>>) {
+    /// Reports the end of an attempt to the engine, with its answer if there is one.
+    pub fn finish(&self, context: &Arc<Context>, attempt: u64, ending: Ending, response: Option<Arc<Response>>) {
         stall::check(context);
         context.metrics.attempts.with_label_values(&[ending.name()]).inc();
         lock(&self.running).remove(&attempt);
-        if let Some(whole) = whole {
-            lock(&self.answers).insert(attempt, whole);
+        if let Some(response) = response {
+            lock(&self.answers).insert(attempt, response);
         }
         let now = context.now();
         self.with_engine_mut(context, |engine| engine.finish(attempt, ending, now));
         lock(&self.answers).remove(&attempt);
     }
 
-    /// Lets `work` change the engine, then carries out what it decided.
+    /// Applies `work` to the engine, then logs its decisions and carries out its actions.
     pub fn with_engine_mut<T>(&self, context: &Arc<Context>, work: impl FnOnce(&mut Engine) -> T) -> T {
         let mut engine = lock(&self.engine);
         let result = work(&mut engine);
-        let notes = engine.take_notes();
+        let decisions = engine.take_notes();
         let actions = engine.take();
         let losses = engine.take_losses();
         context.metrics.queued.set(engine.queued() as i64);
         context.metrics.in_flight.set(engine.in_flight() as i64);
         drop(engine);
-        notes.iter().for_each(|note| self.note(context, note));
+        decisions.iter().for_each(|decision| self.log_decision(context, decision));
         for action in actions {
             self.perform(context, action);
         }
@@ -196,7 +199,7 @@
         result
     }
 
-    /// Looks at the engine without changing it.
+    /// Applies `work` to the engine, which it cannot change.
     pub fn with_engine<T>(&self, work: impl FnOnce(&Engine) -> T) -> T {
         work(&lock(&self.engine))
     }
@@ -205,7 +208,7 @@
         match action {
             Action::Start { request, attempt, backend, deadline, again, why } => {
                 let sending = attempt::Sending { attempt, backend, deadline, again };
-                self.note_start(context, request, sending, why);
+                self.record_start(context, request, sending, why);
                 self.start(context, request, sending);
             }
             Action::Cancel { attempt, backend } => {
@@ -218,7 +221,7 @@
                         attempt,
                         Ending::Cancelled,
                         0,
-                        context.now().since(running.begun),
+                        context.now().since(running.started_at),
                     );
                     self.finish(context, attempt, Ending::Cancelled, None);
                 }
@@ -227,11 +230,12 @@
         }
     }
 
-    /// Tells in logs and metrics where a request goes and what that rests on.
-    fn note_start(&self, context: &Context, request: u64, sending: attempt::Sending, why: Why) {
-        let pending = lock(&self.pending).get(&request).map(|pending| (Arc::clone(&pending.outgoing), pending.came));
-        let Some((outgoing, came)) = pending else { return };
-        let waited = context.now().since(came);
+    /// Records in logs and metrics where a request is sent and on what basis.
+    fn record_start(&self, context: &Context, request: u64, sending: attempt::Sending, why: Why) {
+        let pending =
+            lock(&self.pending).get(&request).map(|pending| (Arc::clone(&pending.outgoing), pending.arrived_at));
+        let Some((outgoing, arrived_at)) = pending else { return };
+        let waited = context.now().since(arrived_at);
         let again = if sending.again { "yes" } else { "no" };
         context.metrics.sends.with_label_values(&[again, decision_log::warm_label(why)]).inc();
         if !sending.again {
@@ -240,9 +244,9 @@
         decision_log::attempt_sent(context, &outgoing, sending, waited, why);
     }
 
-    /// Logs what was decided or is believed now, before the requests concerned are answered.
-    fn note(&self, context: &Context, note: &Note) {
-        let request = match note {
+    /// Logs a decision; called before the request concerned is answered.
+    fn log_decision(&self, context: &Context, decision: &Note) {
+        let request = match decision {
             Note::Held { request, .. } | Note::Refused { request, .. } => Some(*request),
             Note::Ejected { .. }
             | Note::Trusted { .. }
@@ -253,26 +257,28 @@
         let pending = lock(&self.pending);
         let outgoing = request.and_then(|request| pending.get(&request)).map(|pending| Arc::clone(&pending.outgoing));
         drop(pending);
-        decision_log::decision(context, note, outgoing.as_ref().map_or("-", |outgoing| outgoing.id.as_str()));
+        decision_log::decision(context, decision, outgoing.as_ref().map_or("-", |outgoing| outgoing.id.as_str()));
     }
 
+    /// Starts an attempt on a task of its own.
     fn start(&self, context: &Arc<Context>, request: u64, sending: attempt::Sending) {
         let outgoing = lock(&self.pending).get(&request).map(|pending| Arc::clone(&pending.outgoing));
         let Some(outgoing) = outgoing else {
             return self.finish(context, sending.attempt, Ending::Withheld(Kind::Expired), None);
         };
-        // The map is locked so that an attempt that ends at once finds itself in it.
+        // The map stays locked until the attempt is in it, also if the attempt ends at once.
         let mut running = lock(&self.running);
-        let begun = context.now();
+        let started_at = context.now();
         let task = context.runtime.spawn(attempt::run(Arc::clone(context), Arc::clone(&outgoing), sending));
-        running.insert(sending.attempt, Running { outgoing, begun, task: task.abort_handle() });
+        running.insert(sending.attempt, Running { outgoing, started_at, task: task.abort_handle() });
     }
 
-    /// Takes in a load report that came with an answer; it is acted on when that answer is.
+    /// Records a load report that came with an answer; the engine acts on it once the attempt's end is reported.
     pub fn record_report(&self, backend: BackendId, report: Report) {
         lock(&self.engine).note_report(backend, report);
     }
 
+    /// Sends the outcome of `request` to its caller; `after` is when the caller should retry.
     fn answer(&self, request: u64, verdict: Verdict, after: Option<Duration>) {
         let Some(pending) = lock(&self.pending).remove(&request) else {
             return;
@@ -305,15 +311,15 @@
 async fn run(context: &Arc<Context>) {
     let driver = &context.driver;
     loop {
-        let wake = driver.with_engine(Engine::wake);
-        let sleep = wake.map_or(LONGEST_SLEEP, |wake| context.clock.duration_until(wake).min(LONGEST_SLEEP));
+        let wakeup = driver.with_engine(Engine::wake);
+        let sleep = wakeup.map_or(MAX_SLEEP, |wakeup| context.clock.duration_until(wakeup).min(MAX_SLEEP));
         tokio::select! {
             () = tokio::time::sleep(sleep) => {}
             () = driver.changed.notified() => {}
         }
         stall::check(context);
         let now = context.now();
-        if driver.with_engine(Engine::wake).is_some_and(|wake| wake <= now) {
+        if driver.with_engine(Engine::wake).is_some_and(|wakeup| wakeup <= now) {
             driver.with_engine_mut(context, |engine| engine.tick(now));
         }
     }
--- a/crates/daemon/src/grants.rs
+++ b/crates/daemon/src/grants.rs
@@ -1,4 +1,4 @@
-//! Keeps this daemon's slots of the region's grants in the store.
+//! Holds this daemon's slots of its region's grants in the store, as [`steer::grant`] plans.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,28 +11,29 @@
 use crate::context::lock;
 use crate::plugin::{PeriodicThread, Plugin};
 
-/// Time between two looks at the plan.
-const TURN: Duration = Duration::from_secs(2);
+/// Time between two steps of the plan.
+const STEP_INTERVAL: Duration = Duration::from_secs(2);
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "grants", stage: 50, start })
 }
 
 struct Grants {
-    running: PeriodicThread,
+    thread: PeriodicThread,
     context: Arc<Context>,
+    /// The lease that the slots are attached to; `None` before the first.
     lease: Arc<std::sync::Mutex<Option<Lease>>>,
 }
 
 impl kernel::Part for Grants {
-    /// Gives the slots back, so that the others need not wait for the lease to end.
+    /// Releases the slots, so that other daemons need not wait for the lease to expire.
     fn close(&mut self) {
-        self.running.stop();
+        self.thread.stop();
         let held: Vec<u32> = lock(&self.context.grant_manager).held().collect();
         lock(&self.context.grant_manager).lost();
         let lease = lock(&self.lease).take();
         if let Some(lease) = lease {
-            give_back(&self.context, lease, &held);
+            release_all(&self.context, lease, &held);
         }
     }
 }
@@ -42,44 +43,45 @@
         return Ok(Box::new(kernel::Idle));
     }
     let lease = Arc::new(std::sync::Mutex::new(None));
-    let (shared, held_lease) = (Arc::clone(context), Arc::clone(&lease));
-    let running = PeriodicThread::start("grants", move || {
-        turn(&shared, &held_lease);
-        TURN
+    let (shared, current_lease) = (Arc::clone(context), Arc::clone(&lease));
+    let thread = PeriodicThread::start("grants", move || {
+        step(&shared, &current_lease);
+        STEP_INTERVAL
     })?;
-    Ok(Box::new(Grants { running, context: Arc::clone(context), lease }))
+    Ok(Box::new(Grants { thread, context: Arc::clone(context), lease }))
 }
 
-fn turn(context: &Context, held_lease: &std::sync::Mutex<Option<Lease>>) {
+/// Carries out the next step of the plan.
+fn step(context: &Context, current_lease: &std::sync::Mutex<Option<Lease>>) {
     let in_force = context.policy();
     if in_force.revision == 0 || context.stopping() {
         return;
     }
-    let live = region_members(context);
+    let live = live_in_region(context);
     let now = context.now();
     let plan = lock(&context.grant_manager).plan(live, now);
-    let lease = *lock(held_lease);
+    let lease = *lock(current_lease);
     match (plan, lease) {
         (Plan::Rest, _) => {}
         (Plan::Lease, _) | (_, None) => {
             if let Ok(lease) = context.store.grant(LEASE) {
-                *lock(held_lease) = Some(lease);
+                *lock(current_lease) = Some(lease);
                 lock(&context.grant_manager).leased(now);
             }
         }
         (Plan::Renew, Some(lease)) => match context.store.renew(lease) {
             Ok(true) => lock(&context.grant_manager).leased(now),
             Ok(false) => lock(&context.grant_manager).lost(),
-            Err(error) => log::debug!("grants: renewal skipped reason={:?}", error.to_string()),
+            Err(error) => log::debug!("grants: renewal failed reason={:?}", error.to_string()),
         },
-        (Plan::Take(count), Some(lease)) => take(context, lease, count),
-        (Plan::Drop(slots), Some(_)) => drop_slots(context, &slots),
+        (Plan::Take(count), Some(lease)) => acquire(context, lease, count),
+        (Plan::Drop(slots), Some(_)) => release(context, &slots),
     }
     context.metrics.grant_slots.set(lock(&context.grant_manager).held().count() as i64);
 }
 
-/// Living entry instances of our region.
-fn region_members(context: &Context) -> usize {
+/// Returns the number of live entry instances in this daemon's region, itself included; at least one.
+fn live_in_region(context: &Context) -> usize {
     let in_force = context.policy();
     let region = in_force.policy.regions.get(&context.settings.region);
     let domains = region.map(|region| region.domains.as_slice()).unwrap_or_default();
@@ -87,27 +89,30 @@
     domains.iter().map(|domain| roster.alive_in(domain).count()).sum::<usize>().max(1)
 }
 
-/// Our mark on a slot; it names the lease, so that slots of an earlier lease are not taken for ours.
+/// Returns the value that marks a slot as held by this daemon. It names the lease, so that slots under an earlier lease of
+/// this daemon do not count as held.
 fn token(context: &Context, lease: Lease) -> Vec<u8> {
     format!("{} {:016x} {}", context.settings.instance, context.incarnation, lease.0).into_bytes()
 }
 
-/// Takes up to `count` slots in one call: those under our mark from a lost answer first, then free ones.
+/// Acquires up to `count` slots in one transaction: first those that already carry this daemon's token, from a commit
+/// whose answer was lost, then free ones.
 ///
-/// A slot under our mark is written anew: a deletion of ours that is still on its way then misses it.
-fn take(context: &Context, lease: Lease, count: u32) {
+/// A slot that carries the token is written again: a deletion by this daemon that is still in flight then fails, as the
+/// revision has changed.
+fn acquire(context: &Context, lease: Lease, count: u32) {
     let region = &context.settings.region;
     let Ok(entries) = context.store.list(&key::grants(region)) else {
         return;
     };
     let token = token(context, lease);
     let held: BTreeSet<u32> = lock(&context.grant_manager).held().collect();
-    let known: BTreeMap<u32, &Entry> =
+    let taken: BTreeMap<u32, &Entry> =
         entries.iter().filter_map(|entry| Some((slot_number(&entry.key)?, entry))).collect();
-    let ours = known.iter().filter(|(number, entry)| entry.value == token && !held.contains(number));
+    let ours = taken.iter().filter(|(number, entry)| entry.value == token && !held.contains(number));
     let ours = ours.map(|(number, entry)| (*number, entry.revision));
     let start = (context.incarnation % u64::from(SLOTS)) as u32;
-    let free = (0..SLOTS).map(|step| (start + step) % SLOTS).filter(|number| !known.contains_key(number));
+    let free = (0..SLOTS).map(|step| (start + step) % SLOTS).filter(|number| !taken.contains_key(number));
     let wanted: Vec<(u32, u64)> = ours.chain(free.map(|number| (number, 0))).take(count as usize).collect();
     let set = |(number, expect): &(u32, u64)| {
         Change::set(&key::grant(region, *number), *expect, token.clone()).with_lease(lease)
@@ -119,30 +124,31 @@
     }
     let commit = context.store.commit(&changes);
     let now = context.now();
-    let mut keeper = lock(&context.grant_manager);
+    let mut manager = lock(&context.grant_manager);
     match commit {
-        Ok(Commit::Done(revision)) => wanted.iter().for_each(|(number, _)| keeper.took(*number, revision)),
-        Ok(Commit::Conflict) => keeper.retry(now),
-        Err(error) => log::debug!("grants: slots not taken reason={:?}", error.to_string()),
+        Ok(Commit::Done(revision)) => wanted.iter().for_each(|(number, _)| manager.took(*number, revision)),
+        Ok(Commit::Conflict) => manager.retry(now),
+        Err(error) => log::debug!("grants: slots not acquired reason={:?}", error.to_string()),
     }
 }
 
-/// Stops using slots, then deletes them.
-fn drop_slots(context: &Context, slots: &[(u32, u64)]) {
-    let mut keeper = lock(&context.grant_manager);
+/// Stops using slots, then deletes them from the store.
+fn release(context: &Context, slots: &[(u32, u64)]) {
+    let mut manager = lock(&context.grant_manager);
     for (number, _) in slots {
-        Keeper::dropped(&mut keeper, *number);
+        Keeper::dropped(&mut manager, *number);
     }
-    drop(keeper);
+    drop(manager);
     let region = &context.settings.region;
     let delete = |(number, revision): &(u32, u64)| Change::delete(&key::grant(region, *number), *revision);
     let changes: Vec<Change> = slots.iter().map(delete).collect();
     if let Err(error) = context.store.commit(&changes) {
-        log::debug!("grants: deletion skipped reason={:?}", error.to_string());
+        log::debug!("grants: deletion failed reason={:?}", error.to_string());
     }
 }
 
-fn give_back(context: &Context, lease: Lease, held: &[u32]) {
+/// Deletes all slots under `lease` from the store; `held` are their numbers as far as known here.
+fn release_all(context: &Context, lease: Lease, held: &[u32]) {
     let region = &context.settings.region;
     let token = token(context, lease);
     let Ok(entries) = context.store.list(&key::grants(region)) else {
@@ -151,7 +157,7 @@
     let ours = entries.iter().filter(|entry| entry.value == token);
     let changes: Vec<Change> = ours.map(|entry| Change::delete(&entry.key, entry.revision)).collect();
     if !changes.is_empty() && context.store.commit(&changes).is_err() {
-        log::debug!("grants: {} slots are free when their lease ends", held.len());
+        log::debug!("grants: {} slots not released, free once their lease expires", held.len());
     }
 }
 
--- a/crates/daemon/src/instance_list.rs
+++ b/crates/daemon/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! The instances that the platform lists, each read once and then shared.
+//! Instances that the platform lists, each parsed once and then shared.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,41 +15,42 @@
 /// A listed instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// Its number.
+    /// Number of the backend server, see [`backend_id`].
     pub id: BackendId,
-    /// What is listed of it.
+    /// The instance as listed.
     pub instance: Arc<Instance>,
-    /// Until when it starts slowly.
+    /// When the server's cold start ends; in the past for a warm one.
     pub cold_until: Time,
 }
 
 impl Item {
-    /// An instance that starts slowly until `cold_until`.
+    /// Creates an item of an instance that is cold until `cold_until`.
     pub fn new(instance: Instance, cold_until: Time) -> Self {
         Self { id: backend_id(&instance), instance: Arc::new(instance), cold_until }
     }
 }
 
-/// A backend server's number: its name, address and start together, so that a successor is another one.
+/// Returns a backend server's number, a hash of its name, address and start time, so that its successor has another
+/// number. Where no start time is listed, a successor at the same address has the same number.
 pub fn backend_id(instance: &Instance) -> BackendId {
     let Instance { name, address, born, .. } = instance;
     let text = if *born == 0 { format!("{name}\n{address}") } else { format!("{name}\n{address}\n{born}") };
     hash::bytes(text.as_bytes()) as BackendId
 }
 
-/// The list as it was read last.
+/// The list as last read.
 #[derive(Debug, Clone, Default)]
 pub struct List {
-    /// All that is listed.
+    /// All instances listed.
     pub items: Arc<Vec<Item>>,
-    /// When it was read.
+    /// When the list was last read; `None` before the first time.
     pub read_at: Option<Time>,
-    /// Rises with each change.
+    /// Number of changes so far.
     pub version: u64,
 }
 
 impl List {
-    /// Takes what was read at `now`.
+    /// Replaces the items by those read at `now`; the version rises if they differ.
     pub fn replace(&mut self, items: Vec<Item>, now: Time) {
         self.read_at = Some(now);
         if *self.items != items {
@@ -59,27 +60,28 @@
     }
 }
 
-/// Entries of the store that name servers; each is read again only after it was written anew.
+/// Entries of backend servers in the store, by key, with the revision and the result of parsing; each is parsed again only
+/// after it was written again.
 #[derive(Debug, Clone, Default)]
 pub struct ServerEntries(BTreeMap<String, (u64, Result<Item, String>)>);
 
 impl ServerEntries {
-    /// Reads what is new in `mirror`; gives the servers, and why entries were passed over.
+    /// Parses what is new in `mirror`; returns all servers, and the reason for each entry that was skipped.
     pub fn read(&mut self, mirror: &Mirror, catalog: Catalog, settings: &Settings) -> (Vec<Item>, BTreeSet<String>) {
-        let mut known = std::mem::take(&mut self.0);
+        let mut previous = std::mem::take(&mut self.0);
         for (key, held) in mirror.range(catalog.server_prefix) {
-            let kept = known.remove_entry(key).filter(|(_, (revision, _))| *revision == held.revision);
-            let (key, entry) = kept.unwrap_or_else(|| {
+            let unchanged = previous.remove_entry(key).filter(|(_, (revision, _))| *revision == held.revision);
+            let (key, entry) = unchanged.unwrap_or_else(|| {
                 let name = key.strip_prefix(catalog.server_prefix).unwrap_or(key);
                 let server = (catalog.parse_server)(name, &held.value, settings);
                 let item = server.map(|server| Item::new(server.instance, held.seen + server.cold_for));
-                let told = item.map_err(|reason| format!("{key} at revision {}: {reason}", held.revision));
-                (key.to_owned(), (held.revision, told))
+                let result = item.map_err(|reason| format!("{key} at revision {}: {reason}", held.revision));
+                (key.to_owned(), (held.revision, result))
             });
             self.0.insert(key, entry);
         }
         let items = self.0.values().filter_map(|(_, entry)| entry.as_ref().ok().cloned());
-        let refused = self.0.values().filter_map(|(_, entry)| entry.as_ref().err().cloned());
-        (items.collect(), refused.collect())
+        let skipped = self.0.values().filter_map(|(_, entry)| entry.as_ref().err().cloned());
+        (items.collect(), skipped.collect())
     }
 }
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! From start to graceful stop.
+//! The daemon's life cycle: start, reload of the settings, graceful stop.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -11,25 +11,25 @@
 use crate::adapter::Adapter;
 use crate::{Context, logs, operators, plugin, policies};
 
-/// Threads for calls that block: claims of orders.
-const BLOCKING_THREADS: usize = 64;
-/// Time between two looks at what is still open.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time for what is left when the parts are closed.
-const LAST: Duration = Duration::from_secs(1);
+/// Most threads for blocking calls, which claim keyed requests in the store.
+const MAX_BLOCKING_THREADS: usize = 64;
+/// Time between two checks whether all work is done.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for blocking calls that still run after the components were closed.
+const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 /// Exit code of a daemon that is interrupted while it stops.
-const EXIT_AT_ONCE: i32 = 1;
+const EXIT_INTERRUPTED: i32 = 1;
 
 /// Why a daemon did not run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The policy of the settings is not valid.
+    /// The policy file that the settings name is not valid.
     #[error(transparent)]
     Policy(#[from] config::Error),
-    /// A part did not start.
+    /// A component did not start.
     #[error(transparent)]
     Component(#[from] kernel::Error),
-    /// The system refused something at the start.
+    /// The operating system refused a call at the start.
     #[error("start: {0}")]
     System(#[from] std::io::Error),
 }
@@ -37,28 +37,28 @@
 /// The result of running a daemon.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Runs a daemon with the settings of the file `path` on this thread until it is told to stop by a signal.
+/// Runs a daemon on this thread until a signal stops it; `path` is the file of `settings`, for reloads.
 pub fn run(path: &Path, settings: Settings, adapter: Adapter) -> Result<()> {
-    let runtime = Builder::new_current_thread().max_blocking_threads(BLOCKING_THREADS).enable_all().build()?;
+    let runtime = Builder::new_current_thread().max_blocking_threads(MAX_BLOCKING_THREADS).enable_all().build()?;
     let mut signals = {
-        let _inside = runtime.enter();
+        let _guard = runtime.enter();
         Signals::new()?
     };
     let Daemon { context, kernel, runtime } = Daemon::start_on(runtime, settings, adapter)?;
     runtime.block_on(async {
-        signals.stop(&context, path).await;
+        signals.wait_for_stop(&context, path).await;
         let (shared, path) = (Arc::clone(&context), path.to_owned());
         tokio::spawn(async move {
-            signals.interrupt_stop(&shared, &path).await;
-            std::process::exit(EXIT_AT_ONCE);
+            signals.wait_for_interrupt(&shared, &path).await;
+            std::process::exit(EXIT_INTERRUPTED);
         });
         stop(&context, kernel).await;
     });
-    runtime.shutdown_timeout(LAST);
+    runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
     Ok(())
 }
 
-/// Reads the settings anew: log levels are taken at once, anything else needs a restart, which is told.
+/// Reads the settings file again. New log levels apply at once; anything else needs a restart, and the log names it.
 pub fn reload(context: &Context, path: &Path) {
     let settings = match Settings::read(path) {
         Ok(settings) => settings,
@@ -74,7 +74,7 @@
     log::info!(restart_for = names.as_str(); "life: reloaded");
 }
 
-/// Signals of the system.
+/// Signals of the operating system.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -90,8 +90,8 @@
         })
     }
 
-    /// Waits until the daemon is told to stop.
-    async fn stop(&mut self, context: &Context, path: &Path) {
+    /// Waits for the first signal to stop; reloads the settings meanwhile.
+    async fn wait_for_stop(&mut self, context: &Context, path: &Path) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Waits until someone at a terminal does not want to wait for the stop. Told to stop again, a daemon goes on with
-    /// it: what is told twice by a supervisor is still a planned stop, which cuts no request.
-    async fn interrupt_stop(&mut self, context: &Context, path: &Path) {
+    /// Waits for an interrupt during the stop, by which someone at a terminal ends it at once. A second terminate signal
+    /// changes nothing: a supervisor may send it twice, and the stop is still a planned one, which cuts no request.
+    async fn wait_for_interrupt(&mut self, context: &Context, path: &Path) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => log::info!("life: told to stop again, already stopping"),
@@ -123,10 +123,10 @@
 }
 
 impl Daemon {
-    /// Starts all plug-ins on threads of their own.
+    /// Starts all plug-ins on an event loop with a thread of its own.
     pub fn start(settings: Settings, adapter: Adapter) -> Result<Self> {
         let mut builder = Builder::new_multi_thread();
-        let runtime = builder.worker_threads(1).max_blocking_threads(BLOCKING_THREADS).enable_all().build()?;
+        let runtime = builder.worker_threads(1).max_blocking_threads(MAX_BLOCKING_THREADS).enable_all().build()?;
         Self::start_on(runtime, settings, adapter)
     }
 
@@ -145,34 +145,34 @@
         Ok(Self { context, kernel, runtime })
     }
 
-    /// What the plug-ins share.
+    /// Returns the state that the plug-ins share.
     pub const fn context(&self) -> &Arc<Context> {
         &self.context
     }
 
-    /// Stops gracefully.
+    /// Stops gracefully; blocks until that is done.
     pub fn stop(self) {
         self.runtime.block_on(stop(&self.context, self.kernel));
-        self.runtime.shutdown_timeout(LAST);
+        self.runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
     }
 }
 
-/// Withdraws, waits until callers forgot old answers, finishes all work, closes.
+/// Withdraws, waits until answers that callers keep from look-ups have expired, finishes all work, then closes.
 async fn stop(context: &Context, mut kernel: kernel::Kernel) {
-    let begun = context.now();
+    let stop_started = context.now();
     log::info!("life: stopping");
     context.stop();
     kernel.withdraw();
     tokio::time::sleep(Duration::from_millis(context.settings.callers.answer_kept_ms)).await;
     let limit = Duration::from_millis(context.settings.callers.stop_ms);
     let mut drained = kernel.drained();
-    while !drained && context.now().since(begun) < limit {
-        tokio::time::sleep(LOOK).await;
+    while !drained && context.now().since(stop_started) < limit {
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         drained = kernel.drained();
     }
-    // Parts give back what they hold in the store with calls that block, which need the event loop to go on.
+    // Components release what they hold in the store by blocking calls, which need the event loop to keep running.
     if let Err(error) = tokio::task::spawn_blocking(move || kernel.close()).await {
-        log::warn!("life: a part did not close reason={:?}", error.to_string());
+        log::warn!("life: a component did not close reason={:?}", error.to_string());
     }
-    log::info!("life: stopped drained={drained} after_ms={}", context.now().since(begun).as_millis());
+    log::info!("life: stopped drained={drained} after_ms={}", context.now().since(stop_started).as_millis());
 }
--- a/crates/daemon/src/list_poller.rs
+++ b/crates/daemon/src/list_poller.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of instances.
+//! Polls the platform's list of instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::plugin::{PeriodicThread, Plugin};
 use crate::view;
 
-/// Largest list taken, in bytes.
+/// Largest list accepted, in bytes.
 const MAX_LIST_BYTES: u64 = 64 << 20;
 
 inventory::submit! {
@@ -25,31 +25,31 @@
     }
     let settings = &context.settings.list;
     let timeout = Duration::from_millis(settings.timeout_ms);
-    let pause = Duration::from_millis(settings.poll_ms);
+    let interval = Duration::from_millis(settings.poll_ms);
     let url = format!("http://{}/instances", settings.address);
     let config = ureq::Agent::config_builder().timeout_global(Some(timeout)).proxy(None).build();
     let agent: ureq::Agent = config.into();
     let context = Arc::clone(context);
-    let running = PeriodicThread::start("list", move || {
-        match read(&agent, &url) {
-            Ok(instances) => take(&context, instances),
-            Err(reason) => log::debug!("list: read skipped reason={reason:?}"),
+    let thread = PeriodicThread::start("list", move || {
+        match fetch(&agent, &url) {
+            Ok(instances) => apply(&context, instances),
+            Err(reason) => log::debug!("list: read failed reason={reason:?}"),
         }
         view::refresh(&context);
-        pause
+        interval
     })?;
-    Ok(Box::new(running))
+    Ok(Box::new(thread))
 }
 
-fn read(agent: &ureq::Agent, url: &str) -> Result<Vec<Instance>, String> {
+fn fetch(agent: &ureq::Agent, url: &str) -> Result<Vec<Instance>, String> {
     let mut response = agent.get(url).call().map_err(|error| error.to_string())?;
-    let read = response.body_mut().with_config().limit(MAX_LIST_BYTES).read_to_vec();
-    let bytes = read.map_err(|error| error.to_string())?;
+    let body = response.body_mut().with_config().limit(MAX_LIST_BYTES).read_to_vec();
+    let bytes = body.map_err(|error| error.to_string())?;
     serde_json::from_slice(&bytes).map_err(|error| error.to_string())
 }
 
-/// Takes a list; an empty one is taken for a fault of the platform.
-fn take(context: &Context, instances: Vec<Instance>) {
+/// Applies a list. An empty one after one with instances counts as a fault of the platform and is ignored.
+fn apply(context: &Context, instances: Vec<Instance>) {
     let now = context.now();
     let mut list = lock(&context.instance_list);
     if instances.is_empty() && !list.items.is_empty() {
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -1,4 +1,4 @@
-//! Putting a policy into force.
+//! Applies policies: from the store, from peers and from the settings.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -13,66 +13,67 @@
 use crate::context::lock;
 use crate::{Context, view};
 
-/// A policy with its revision and the names that decisions use by position.
+/// The policy in force with its revision, and the names that the engine refers to by position.
 #[derive(Debug, Clone, Default)]
 pub struct ActivePolicy {
-    /// Revision in the store; zero for a policy of the settings.
+    /// Revision in the store; zero for the policy of the settings file or before any was applied.
     pub revision: u64,
     /// The policy.
     pub policy: Policy,
-    /// Names of classes, in the order of their positions.
+    /// Class names; the index is the class's position.
     pub classes: Vec<String>,
-    /// Names of services, in the order of their positions.
+    /// Service names; the index is the service's position.
     pub services: Vec<String>,
-    /// Names of regions, in the order of their positions.
+    /// Region names; the index is the region's position.
     pub regions: Vec<String>,
-    /// Home regions of callers.
+    /// Home regions by callers' address ranges.
     pub table: Arc<steer::Table>,
 }
 
 impl ActivePolicy {
-    /// Prepares `policy` at `revision`.
+    /// Prepares `policy` at `revision`, with no policy before it.
     pub fn new(revision: u64, policy: Policy) -> Self {
         Self::replacing(&Self::default(), revision, policy)
     }
 
-    /// Prepares `policy`; classes and services keep the positions they have in `before`.
-    pub fn replacing(before: &Self, revision: u64, policy: Policy) -> Self {
-        let classes = extend(&before.classes, policy.classes.keys());
-        let services = extend(&before.services, policy.classes.values().flat_map(Class::services));
+    /// Prepares `policy` at `revision`; classes and services keep the positions that they have in `previous`.
+    pub fn replacing(previous: &Self, revision: u64, policy: Policy) -> Self {
+        let classes = append_new(&previous.classes, policy.classes.keys());
+        let services = append_new(&previous.services, policy.classes.values().flat_map(Class::services));
         let regions = policy.regions.keys().cloned().collect();
         let table = Arc::new(steer::Table::from_policy(&policy));
         Self { revision, policy, classes, services, regions, table }
     }
 
-    /// The position of a service.
+    /// Returns the position of a service.
     pub fn service_position(&self, name: &str) -> Option<u16> {
         self.services.iter().position(|service| service == name).map(|position| position as u16)
     }
 
-    /// The position of a region.
+    /// Returns the position of a region.
     pub fn region_position(&self, name: &str) -> Option<u16> {
         self.regions.iter().position(|region| region == name).map(|position| position as u16)
     }
 
-    /// The position of a class.
+    /// Returns the position of a class.
     pub fn class_position(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == name)
     }
 
-    /// What dispatch needs of its classes, by position.
+    /// Returns the engine's specification of each class, by position.
     pub fn class_specs(&self) -> Vec<class::Spec> {
         self.classes.iter().map(|name| self.spec(name)).collect()
     }
 
-    /// What dispatch needs of a class; a class that is gone keeps its place and gets no work.
+    /// Returns the engine's specification of a class. A class that the policy no longer has keeps its position and gets
+    /// no work.
     fn spec(&self, name: &str) -> class::Spec {
         let Some(class) = self.policy.classes.get(name) else {
-            let none = class::Spec::new(0, Duration::from_secs(1));
-            return class::Spec { idempotent: false, rank: u8::MAX, may_wait: true, ..none };
+            let defaults = class::Spec::new(0, Duration::from_secs(1));
+            return class::Spec { idempotent: false, rank: u8::MAX, may_wait: true, ..defaults };
         };
         let service = self.service_position(&class.service).unwrap_or_default();
-        let usual = class::Spec::new(service, Duration::from_millis(class.deadline_ms));
+        let defaults = class::Spec::new(service, Duration::from_millis(class.deadline_ms));
         let split = class.split.iter().filter_map(|(name, weight)| Some((self.service_position(name)?, *weight)));
         class::Spec {
             key: hash::bytes(name.as_bytes()),
@@ -80,22 +81,23 @@
             rank: class.rank,
             target: Duration::from_millis(class.target_ms),
             may_wait: class.may_wait,
-            tries: if class.tries == 0 { usual.tries } else { class.tries as usize },
+            tries: if class.tries == 0 { defaults.tries } else { class.tries as usize },
             affinity: class.affinity,
             regions: class.regions.iter().filter_map(|name| self.region_position(name)).collect(),
             split: split.map(|(service, weight)| Part { service, weight }).collect(),
-            ..usual
+            ..defaults
         }
     }
 }
 
-/// Takes a copy of the policy from the store or a peer; says whether it is now in force.
+/// Applies a policy document from the store or a peer; returns whether it is now in force, that is, valid and newer
+/// than the one before. `source` names its origin in the log.
 pub fn apply(context: &Arc<Context>, copy: Copy, source: &str) -> bool {
     let revision = copy.revision;
-    let mut holder = lock(&context.policy_replica);
-    match holder.offer(copy) {
+    let mut replica = lock(&context.policy_replica);
+    match replica.offer(copy) {
         Ok(Some(policy)) => {
-            put(context, revision, policy);
+            activate(context, revision, policy);
             log::info!("policy: in force revision={revision} source={source}");
             true
         }
@@ -111,29 +113,30 @@
     }
 }
 
-/// Puts the policy of the settings into force, if they name one.
+/// Applies the policy file that the settings name, if they name one.
 pub fn apply_from_settings(context: &Arc<Context>) -> Result<(), config::Error> {
     let path = &context.settings.policy;
     if path.is_empty() {
         return Ok(());
     }
     let policy = Policy::read(Path::new(path))?;
-    let _order = lock(&context.policy_replica);
-    put(context, 0, policy);
+    let _replica = lock(&context.policy_replica);
+    activate(context, 0, policy);
     log::info!("policy: in force from the settings file={path}");
     Ok(())
 }
 
-/// Called with the holder locked, so that policies come into force in the order of their revisions.
-fn put(context: &Arc<Context>, revision: u64, policy: Policy) {
+/// Replaces the active policy. The caller holds the lock of the policy replica, so that policies are applied in the order
+/// of their revisions.
+fn activate(context: &Arc<Context>, revision: u64, policy: Policy) {
     let next = ActivePolicy::replacing(&context.policy(), revision, policy);
     view::adopt(context, Arc::new(next));
     context.metrics.policy_revision.set(revision as i64);
 }
 
-/// Adds names that are new; those known keep their positions.
-fn extend<'a>(before: &[String], names: impl Iterator<Item = &'a String>) -> Vec<String> {
-    let mut all = before.to_vec();
+/// Appends the names that `known` lacks, so that known names keep their positions.
+fn append_new<'a>(known: &[String], names: impl Iterator<Item = &'a String>) -> Vec<String> {
+    let mut all = known.to_vec();
     for name in names {
         if !all.contains(name) {
             all.push(name.clone());
--- a/crates/daemon/src/policy_poller.rs
+++ b/crates/daemon/src/policy_poller.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' policy from the store, if this daemon is one of the few that do.
+//! Polls the operators' policy in the store, if this daemon is one of the few that do; the others get it from peers.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,8 +12,8 @@
 use crate::plugin::{PeriodicThread, Plugin};
 use crate::{peers, policies};
 
-/// Turns after which a daemon that learned nothing from anyone reads by itself.
-const LONELY_TURNS: u32 = 3;
+/// Polls after which a daemon that has got no policy from peers reads the store itself.
+const MAX_POLLS_WITHOUT_POLICY: u32 = 3;
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "reader", stage: 30, start })
@@ -24,21 +24,21 @@
         return Ok(Box::new(kernel::Idle));
     }
     let settings = &context.settings.platform;
-    let pause = settings.poll_ms;
-    let most = settings.readers as usize;
+    let interval = settings.poll_ms;
+    let readers = settings.readers as usize;
     let mut rng = fastrand::Rng::with_seed(context.incarnation);
-    let mut turns = 0_u32;
+    let mut polls = 0_u32;
     let context = Arc::clone(context);
-    let running = PeriodicThread::start("reader", move || {
-        turns = turns.saturating_add(1);
-        let lonely = turns > LONELY_TURNS && lock(&context.policy_replica).revision() == 0;
-        if lonely || lock(&context.roster).reads_store(most) {
+    let thread = PeriodicThread::start("reader", move || {
+        polls = polls.saturating_add(1);
+        let no_policy = polls > MAX_POLLS_WITHOUT_POLICY && lock(&context.policy_replica).revision() == 0;
+        if no_policy || lock(&context.roster).reads_store(readers) {
             read(&context);
         }
-        // Jitter keeps readers apart, so that one of them is always early.
-        Duration::from_millis(rng.u64(pause / 2..=pause + pause / 2))
+        // Jitter spreads the readers over the interval, so that one of them sees a change early.
+        Duration::from_millis(rng.u64(interval / 2..=interval + interval / 2))
     })?;
-    Ok(Box::new(running))
+    Ok(Box::new(thread))
 }
 
 fn read(context: &Arc<Context>) {
@@ -57,6 +57,6 @@
             context.store_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
             log::debug!("reader: no policy in the store");
         }
-        Err(error) => log::debug!("reader: read skipped reason={:?}", error.to_string()),
+        Err(error) => log::debug!("reader: read failed reason={:?}", error.to_string()),
     }
 }
--- a/crates/daemon/src/stall.rs
+++ b/crates/daemon/src/stall.rs
@@ -1,4 +1,5 @@
-//! After the process stood still nothing is sent until the store has confirmed what is believed, or does not answer.
+//! After a stall of the process, suspends dispatch until the state of backend servers has been confirmed by the store, or
+//! the store does not answer in time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,20 +10,21 @@
 use crate::plugin::Plugin;
 use crate::{Context, mirror, view};
 
-/// Time between two signs of life.
-const BEAT: Duration = Duration::from_millis(200);
-/// Longest time for which requests wait for the store's word: with the store away, work goes on with what is believed.
-const DOUBT: Duration = Duration::from_millis(400);
-/// Time between two looks at whether the list was read again.
-const LOOK: Duration = Duration::from_millis(10);
+/// Time between two checks for a stall.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest time for which dispatch stays suspended: if the store does not answer, it goes on with the last known state.
+const MAX_SUSPENSION: Duration = Duration::from_millis(400);
+/// Time between two checks whether the list was read again.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "stall", stage: 15, start })
 }
 
-struct Beating(tokio::task::JoinHandle<()>);
+/// The task that checks for stalls.
+struct Watchdog(tokio::task::JoinHandle<()>);
 
-impl kernel::Part for Beating {
+impl kernel::Part for Watchdog {
     fn close(&mut self) {
         self.0.abort();
     }
@@ -33,35 +35,36 @@
     let task = context.runtime.spawn(async move {
         loop {
             check(&shared);
-            tokio::time::sleep(BEAT).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     });
-    Ok(Box::new(Beating(task)))
+    Ok(Box::new(Watchdog(task)))
 }
 
-/// A sign of life; called before anything is decided or sent.
+/// Checks whether the process has stalled; if so, suspends dispatch and starts the confirmation. Called before anything is
+/// decided or sent.
 pub fn check(context: &Arc<Context>) {
     let now = context.now();
-    let Some(stood) = lock(&context.stall_detector).beat(now) else { return };
-    log::warn!("stall: the process stood still, nothing is sent until the store has answered ms={}", stood.as_millis());
+    let Some(stalled) = lock(&context.stall_detector).beat(now) else { return };
+    log::warn!("stall: process stalled, dispatch suspended until the store has answered ms={}", stalled.as_millis());
     context.metrics.stalls.inc();
-    context.driver.with_engine_mut(context, |engine| engine.doubt(stood, now + DOUBT));
+    context.driver.with_engine_mut(context, |engine| engine.doubt(stalled, now + MAX_SUSPENSION));
     let shared = Arc::clone(context);
     context.runtime.spawn(async move {
-        let confirmed = tokio::time::timeout(DOUBT, confirm(&shared, now)).await.is_ok();
+        let confirmed = tokio::time::timeout(MAX_SUSPENSION, confirm(&shared, now)).await.is_ok();
         view::refresh(&shared);
         let now = shared.now();
         shared.driver.with_engine_mut(&shared, |engine| engine.trust(now));
-        log::info!("stall: goes on confirmed={confirmed}");
+        log::info!("stall: dispatch resumed confirmed={confirmed}");
     });
 }
 
-/// Waits until what is believed of backend servers is newer than `woke`.
-async fn confirm(context: &Context, woke: Time) {
+/// Waits until the state of backend servers is newer than `stall_end`.
+async fn confirm(context: &Context, stall_end: Time) {
     if context.catalog.is_some() {
         return mirror::confirm(context).await;
     }
-    while lock(&context.instance_list).read_at.is_none_or(|read_at| read_at <= woke) {
-        tokio::time::sleep(LOOK).await;
+    while lock(&context.instance_list).read_at.is_none_or(|read_at| read_at <= stall_end) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
