--- a/crates/daemon/examples/prepare.rs
+++ b/crates/daemon/examples/prepare.rs
@@ -1,4 +1,5 @@
-//! What it costs to prepare the state anew: prints the time of one `view::refresh` at several sizes.
+//! Measures the time of one `view::refresh`, which prepares the state that look-ups and dispatch read, at several fleet
+//! sizes.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -56,7 +57,7 @@
     text
 }
 
-/// Milliseconds that one round of `work` takes.
+/// Returns the mean time of a round of `work`, in milliseconds.
 fn time(mut work: impl FnMut(u32)) -> f64 {
     let start = Instant::now();
     (1..=ROUNDS).for_each(&mut work);
--- a/crates/daemon/examples/wire.rs
+++ b/crates/daemon/examples/wire.rs
@@ -1,4 +1,5 @@
-//! Counts the bytes around one exchange between daemons, beside its JSON: `cargo run --release -p daemon --example wire`.
+//! Measures the overhead in bytes of one exchange between daemons beyond its JSON message:
+//! `cargo run --release -p daemon --example wire`.
 
 use std::io::{Read as _, Write as _};
 use std::net::TcpListener;
@@ -18,7 +19,7 @@
         Ok(read)
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let _entered = runtime.enter();
+    let _guard = runtime.enter();
     let client = HttpClientBuilder::default().build(format!("http://{address}"))?;
     let parameters = jsonrpsee::core::params::ArrayParams::new();
     let mut parameters = parameters;
--- a/crates/daemon/src/adapter.rs
+++ b/crates/daemon/src/adapter.rs
@@ -1,4 +1,4 @@
-//! What joins the daemon to the platform that it runs on.
+//! The interface between the daemon and the platform that it runs on.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,50 +10,51 @@
 
 use crate::dialect::Dialect;
 
-/// A backend server as the platform's store tells of it.
+/// A backend server as the platform's store has it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Server {
-    /// What is listed of it.
+    /// The server as an instance.
     pub instance: Instance,
-    /// How much longer it was to start slowly when that was written.
+    /// How much longer the server was to stay cold when its entry was written.
     pub cold_for: Duration,
 }
 
-/// The policy as the platform's store tells of it.
+/// The policy as the platform's store has it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PolicyUpdate {
-    /// Its revision.
+    /// Revision of the policy.
     pub revision: u64,
     /// The policy.
     pub policy: Policy,
-    /// What of it cannot be used or is not known, in short sentences; all else is in force.
+    /// Items of the policy that cannot be used or are unknown, one sentence each; all others apply.
     pub passed_over: BTreeSet<String>,
 }
 
-/// Reads the policy and the backend servers from keys that the platform's own tools write.
+/// Parsers of the policy and of backend servers, from keys that the platform's own tools write.
 #[derive(Debug, Clone, Copy)]
 pub struct Catalog {
-    /// The policy if its revision is above the one given; an error if what is there cannot be used.
+    /// Returns the policy if its revision is above the one given; an error if the stored policy cannot be used.
     pub read_policy: fn(&Mirror, &Settings, u64) -> Result<Option<PolicyUpdate>, String>,
-    /// Where the keys begin that each name a backend server.
+    /// Prefix of the keys of backend servers, one key each.
     pub server_prefix: &'static str,
-    /// A backend server from its name and the value of its key; an error if it cannot be read.
+    /// Parses a backend server from its name and the value of its key; an error if it cannot be read.
     pub parse_server: fn(&str, &[u8], &Settings) -> Result<Server, String>,
 }
 
 /// The platform's side of a daemon.
 #[derive(Debug, Clone)]
 pub struct Adapter {
-    /// What callers and backend servers call the things that cross the wire.
+    /// Names of headers and paths on the wire to callers and backend servers.
     pub dialect: Dialect,
-    /// The wire form of the store.
+    /// Wire format of the store.
     pub codec: Codec,
-    /// Where policy and backend servers are read; `None` if the product's own key and list hold them.
+    /// Parsers of policy and backend servers in the store; `None` if the daemon's own policy key and the list of instances
+    /// hold them.
     pub catalog: Option<Catalog>,
 }
 
 impl Adapter {
-    /// The product's own interface and stand-ins.
+    /// Returns the adapter for the daemon's own interface, as the fakes of this workspace serve it.
     pub const fn native() -> Self {
         Self { dialect: Dialect::native(), codec: etcd::CODEC, catalog: None }
     }
--- a/crates/daemon/src/at_most_once.rs
+++ b/crates/daemon/src/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Runs a request with an idempotency key at most once, by the local ledger, claims in the store, and the claimants'
-//! answers to peers.
+//! At-most-once execution of requests with an idempotency key, by the local ledger, claims in the store, and queries to
+//! the daemon that holds a claim.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,11 +1,11 @@
-//! The process's clocks; the only place of the daemon that reads them.
+//! The process's clocks; no other module of the daemon reads them, but for the timestamps of log lines.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use base::time::Time;
 use nix::time::{ClockId, clock_gettime};
 
-/// Time since the process started, counted also while the machine was suspended: leases and deadlines go on then.
+/// A monotonic clock that also counts while the machine is suspended, as leases and deadlines go on then.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Duration,
@@ -18,29 +18,29 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn new() -> Self {
         Self { start: since_boot() }
     }
 
-    /// The present time.
+    /// Returns the time since the clock started, plus one second.
     pub fn now(&self) -> Time {
-        // One second is added so that times before the start can be told.
+        // The added second lets times shortly before the start be represented.
         Time::from_micros(since_boot().saturating_sub(self.start).as_micros() as u64 + 1_000_000)
     }
 
-    /// Waits until `time` is reached.
+    /// Returns the duration until `time`; zero if it has passed.
     pub fn duration_until(&self, time: Time) -> Duration {
         time.since(self.now())
     }
 }
 
-/// Time since the machine started.
+/// Returns the time since the machine started.
 fn since_boot() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).expect("each Linux has this clock").into()
 }
 
-/// Milliseconds of the calendar, for incarnations only.
+/// Returns the milliseconds since the Unix epoch; used for incarnations only.
 pub fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as u64
--- a/crates/daemon/src/decision_log.rs
+++ b/crates/daemon/src/decision_log.rs
@@ -1,6 +1,6 @@
-//! Log lines of decisions: where a request goes, why it waits or is refused, what is believed of a server.
+//! Log lines of decisions: where a request is sent, why it waits or is refused, how a server's state changes.
 //!
-//! Field names are the same in all lines; docs/OPERATIONS.md lists them.
+//! A field has the same name in all lines; `docs/OPERATIONS.md` lists them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::driver::Outgoing;
 use crate::view::Steering;
 
-/// Names of servers in one line about changes of the list at most.
-const NAMED: usize = 8;
+/// Most server names in one line about changes of the list.
+const MAX_NAMES: usize = 8;
 
-/// Where a request goes and what that rests on; `waited` is the time since it came.
+/// Logs where a request is sent and on what basis; `waited` is the time since it arrived.
 pub fn attempt_sent(context: &Context, outgoing: &Outgoing, sending: Sending, waited: Duration, why: Why) {
     let steering = context.steering();
     let target = steering.backends.get(&sending.backend);
@@ -34,7 +34,7 @@
     );
 }
 
-/// How an attempt ended; `status` is that of its answer, zero for none.
+/// Logs the end of an attempt; `status` is the HTTP status of its answer, zero if it has none.
 pub fn attempt_ended(outgoing: &Outgoing, attempt: u64, ending: Ending, status: u16, took: Duration) {
     log::info!(
         request = outgoing.id.as_str(), attempt, ending:% = ending.name(), status, ms:% = took.as_millis();
@@ -42,28 +42,29 @@
     );
 }
 
-/// The caller went away before it was answered.
+/// Logs that a caller disconnected before it was answered; `waited` is the time since its request arrived.
 pub fn caller_disconnected(outgoing: &Outgoing, waited: Duration) {
     log::info!(request = outgoing.id.as_str(), ms:% = waited.as_millis(); "callers: gone");
 }
 
-/// Whether the server had handled the object lately, as a word; a dash for a request about none.
+/// Returns whether the server has handled the request's object lately, as `yes` or `no`; a dash for a request without an
+/// object.
 pub fn warm_label(why: Why) -> &'static str {
     why.warm.map_or("-", |warm| if warm { "yes" } else { "no" })
 }
 
-/// Writes the line of a note; `id` is the name of the request that it is about, if it is about one.
-pub fn decision(context: &Context, note: &Note, id: &str) {
+/// Logs a decision and counts it; `id` is the id of the request concerned, a dash for none.
+pub fn decision(context: &Context, decision: &Note, id: &str) {
     let now = context.now();
     let steering = context.steering();
     let name = |backend: &BackendId| steering.backends.get(backend).map_or("gone", |known| known.name.as_str());
-    match note {
+    match decision {
         Note::Held { waiting, chances, .. } => {
-            let (near, far) = (chance(&steering, chances[0]), chance(&steering, chances[1]));
+            let (near, far) = (candidate(&steering, chances[0]), candidate(&steering, chances[1]));
             log::info!(request = id, waiting, near, far; "dispatch: held");
         }
         Note::Refused { kind, tries, waited, waiting, chances, .. } => {
-            let (near, far) = (chance(&steering, chances[0]), chance(&steering, chances[1]));
+            let (near, far) = (candidate(&steering, chances[0]), candidate(&steering, chances[1]));
             log::info!(
                 request = id, kind:% = kind.as_str(), tries, waited_ms:% = waited.as_millis(), waiting, near, far;
                 "dispatch: refused"
@@ -79,11 +80,11 @@
         Note::Trusted { backend } => log::info!(server = name(backend); "dispatch: server trusted again"),
         Note::Leaving { backend } => {
             context.metrics.servers_leaving.inc();
-            log::info!(server = name(backend); "dispatch: server says it leaves");
+            log::info!(server = name(backend); "dispatch: server announced that it leaves");
         }
         Note::Paused { backend, until } => {
             context.metrics.servers_paused.inc();
-            log::info!(server = name(backend), for_ms:% = until.since(now).as_millis(); "dispatch: server wants nothing");
+            log::info!(server = name(backend), for_ms:% = until.since(now).as_millis(); "dispatch: server paused");
         }
         Note::Poisonous { fingerprint } => {
             log::warn!(fingerprint:% = format_args!("{fingerprint:016x}"); "dispatch: requests poisonous");
@@ -91,28 +92,29 @@
     }
 }
 
-/// A server that was considered, as `name/load/pace/ms to the answer`; a dash for none.
-fn chance(steering: &Steering, chance: Option<Chance>) -> String {
-    let Some(Chance { backend, load, pace, finish }) = chance else {
+/// Formats a server that was considered as `name/load/pace/ms to the answer`; a dash for none.
+fn candidate(steering: &Steering, considered: Option<Chance>) -> String {
+    let Some(Chance { backend, load, pace, finish }) = considered else {
         return "-".to_owned();
     };
     let name = steering.backends.get(&backend).map_or("gone", |known| known.name.as_str());
     format!("{name}/{load:.1}/{pace:.1}/{}", finish.as_millis())
 }
 
-/// What a new view of the world changes: backend servers that came, went or leave, and how entry instances stand.
+/// Logs the changes between two states: backend servers that were added, removed or changed, and entry instances whose
+/// standing changed.
 pub fn steering_changed(before: &Steering, after: &Steering) {
-    let news = |one: &Steering, other: &Steering| {
-        let added = one.backends.iter().filter(|(id, _)| !other.backends.contains_key(id));
-        added.map(|(_, instance)| instance.name.clone()).collect::<Vec<_>>()
+    let only_in = |one: &Steering, other: &Steering| {
+        let found = one.backends.iter().filter(|(id, _)| !other.backends.contains_key(id));
+        found.map(|(_, instance)| instance.name.clone()).collect::<Vec<_>>()
     };
-    let (added, gone) = (news(after, before), news(before, after));
+    let (added, removed) = (only_in(after, before), only_in(before, after));
     let count = after.backends.len();
     if !added.is_empty() {
-        log::info!(number = added.len(), names:% = named(&added), now = count; "list: servers added");
+        log::info!(number = added.len(), names:% = joined(&added), now = count; "list: servers added");
     }
-    if !gone.is_empty() {
-        log::info!(number = gone.len(), names:% = named(&gone), now = count; "list: servers gone");
+    if !removed.is_empty() {
+        log::info!(number = removed.len(), names:% = joined(&removed), now = count; "list: servers gone");
     }
     for (id, instance) in &*after.backends {
         let state = before.backends.get(id).map(|known| known.state);
@@ -120,16 +122,20 @@
             log::info!(server = instance.name.as_str(), state:? = instance.state; "list: server changed");
         }
     }
-    let stood: BTreeMap<_, _> = before.view.entries().iter().map(|entry| (&entry.name, entry.standing)).collect();
+    let previous: BTreeMap<_, _> = before.view.entries().iter().map(|entry| (&entry.name, entry.standing)).collect();
     for entry in after.view.entries() {
-        let standing = stood.get(&entry.name);
+        let standing = previous.get(&entry.name);
         if standing != Some(&entry.standing) {
-            log::info!(entry = entry.name.as_str(), standing:? = entry.standing, before:? = standing; "list: entry stands");
+            log::info!(
+                entry = entry.name.as_str(), standing:? = entry.standing, before:? = standing;
+                "list: entry standing changed"
+            );
         }
     }
 }
 
-fn named(names: &[String]) -> String {
-    let more = if names.len() > NAMED { ",..." } else { "" };
-    format!("{}{more}", names.iter().take(NAMED).map(String::as_str).collect::<Vec<_>>().join(","))
+/// Joins the first names by commas.
+fn joined(names: &[String]) -> String {
+    let more = if names.len() > MAX_NAMES { ",..." } else { "" };
+    format!("{}{more}", names.iter().take(MAX_NAMES).map(String::as_str).collect::<Vec<_>>().join(","))
 }
--- a/crates/daemon/src/dialect.rs
+++ b/crates/daemon/src/dialect.rs
@@ -1,61 +1,61 @@
-//! What callers and backend servers of a deployment call the things that cross the wire.
+//! Names of headers and paths on the wire to callers and backend servers, and how the deployment uses them.
 //!
-//! The daemon's own interface is [`Dialect::native`] (`docs/CALLERS.md`); an adapter to another platform gives its own.
+//! The daemon's own interface is [`Dialect::native`] (`docs/CALLERS.md`); the adapter of another platform defines its own.
 
 use http::HeaderMap;
 use http::header::HeaderName;
 
-/// How a caller's request that must not run twice is told from its re-send.
+/// What identifies a request that must not run twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AtMostOnce {
-    /// By a key that the caller repeats: the order runs at most once over all its sends.
+    /// A key that the caller repeats with each send: the request runs at most once over all its sends.
     PerKey,
-    /// Each send is a request of its own: it runs at most once for itself.
+    /// Each send counts as a request of its own and runs at most once.
     PerSend,
 }
 
-/// Names of headers and paths.
+/// Names of headers and paths, and how they are used.
 #[derive(Debug, Clone)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a property of the wire on its own")]
 pub struct Dialect {
-    /// Names one send; backend servers cancel by it or repeat it in their answer.
+    /// Header with the id of one send, by which backend servers cancel it or which they repeat in their answer.
     pub request_id: HeaderName,
-    /// Whether the caller gives the id of a send and backend servers repeat it; otherwise it names our attempt.
+    /// Whether the caller sets the id and backend servers repeat it; otherwise it identifies the daemon's attempt.
     pub caller_sets_id: bool,
-    /// Milliseconds that the caller still waits, or that a backend server may work.
+    /// Header with the milliseconds that the caller still waits, or that the backend server has.
     pub deadline_ms: HeaderName,
-    /// The object that a request is about: a server that handled it lately works faster.
+    /// Header with the object that a request is about; a server that handled it lately is faster. `None` if there is none.
     pub object: Option<HeaderName>,
-    /// Names the server that is meant; any other refuses.
+    /// Header with the name of the intended server; any other refuses the request.
     pub server: Option<HeaderName>,
-    /// Proof that a backend server made the answer; a success without it is none.
+    /// Header that proves that a backend server made the answer; a success without it does not count as one.
     pub signature: Option<HeaderName>,
-    /// A server's load: running, waiting, slots and its pace in hundredths, separated by commas.
+    /// Header with a server's load: running, waiting, slots and its pace in hundredths, separated by commas.
     pub load: Option<HeaderName>,
-    /// Set by a server that leaves, in all its answers.
+    /// Header that a leaving server sets in all its answers.
     pub leaving: Option<HeaderName>,
-    /// Set by a server that ran nothing of the request.
+    /// Header that a server sets if it ran nothing of the request.
     pub not_run: HeaderName,
-    /// The value of `not_run` that says so; `None` if its presence does.
+    /// The value of `not_run` that states so; `None` if its presence is enough.
     pub not_run_value: Option<&'static str>,
-    /// Tells a caller what it may conclude of an answer.
+    /// Header that tells a caller whether its request ran.
     pub outcome: Option<HeaderName>,
-    /// How long a server that has just started stays slow, in milliseconds, in its health answers.
+    /// Header of health answers with the milliseconds for which a server that has just started stays cold.
     pub cold_ms: Option<HeaderName>,
-    /// Whether an answer may end with its connection; otherwise such an answer counts as cut.
+    /// Whether the end of the connection may end an answer's body; otherwise such an answer counts as cut.
     pub body_until_close: bool,
-    /// Whether a request that must not run twice, and each second try, gets a connection of its own.
+    /// Whether a request that must not run twice, and each retry, gets a connection of its own.
     pub dedicated_connections: bool,
-    /// Path for cancelling an attempt by its id; `None` if closing the connection cancels.
+    /// Path at which an attempt is cancelled by its id; `None` if closing the connection cancels it.
     pub cancel_path: Option<&'static str>,
-    /// Whether callers read fractions of a second in the time after which to come back.
+    /// Whether callers accept fractions of a second in `Retry-After`.
     pub fractional_retry_after: bool,
-    /// How requests that must not run twice are told apart.
+    /// What identifies a request that must not run twice.
     pub at_most_once: AtMostOnce,
 }
 
 impl Dialect {
-    /// The daemon's own interface.
+    /// Returns the daemon's own interface.
     pub const fn native() -> Self {
         Self {
             request_id: HeaderName::from_static("x-request-id"),
@@ -78,16 +78,16 @@
         }
     }
 
-    /// Whether a server says in these headers that it ran nothing.
+    /// Whether a server's answer with these headers states that it ran nothing.
     pub fn is_not_run(&self, headers: &HeaderMap) -> bool {
         match (headers.get(&self.not_run), self.not_run_value) {
-            (Some(value), Some(word)) => value == word,
+            (Some(value), Some(expected)) => value == expected,
             (value, None) => value.is_some(),
             (None, Some(_)) => false,
         }
     }
 
-    /// Whether a header is ours to set towards backend servers, so that a caller's own is not passed on.
+    /// Whether the daemon sets this header towards backend servers, so that a caller's own value is not passed on.
     pub fn is_set_by_daemon(&self, name: &HeaderName) -> bool {
         let id = *name == self.request_id && !self.caller_sets_id;
         id || *name == self.deadline_ms || self.server.as_ref() == Some(name)
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -158,7 +158,7 @@
     pub fn abandon(&self, context: &Arc<Context>, request: u64) {
         let now = context.now();
         if let Some(pending) = lock(&self.pending).remove(&request) {
-            context.metrics.callers_gone.inc();
+            context.metrics.callers_disconnected.inc();
             decision_log::caller_disconnected(&pending.outgoing, now.since(pending.arrived_at));
         }
         self.with_engine_mut(context, |engine| engine.abandon(request, now));
--- a/crates/daemon/src/grants.rs
+++ b/crates/daemon/src/grants.rs
@@ -53,8 +53,8 @@
 
 /// Carries out the next step of the plan.
 fn step(context: &Context, current_lease: &std::sync::Mutex<Option<Lease>>) {
-    let in_force = context.policy();
-    if in_force.revision == 0 || context.stopping() {
+    let active = context.policy();
+    if active.revision == 0 || context.stopping() {
         return;
     }
     let live = live_in_region(context);
@@ -82,8 +82,8 @@
 
 /// Returns the number of live entry instances in this daemon's region, itself included; at least one.
 fn live_in_region(context: &Context) -> usize {
-    let in_force = context.policy();
-    let region = in_force.policy.regions.get(&context.settings.region);
+    let active = context.policy();
+    let region = active.policy.regions.get(&context.settings.region);
     let domains = region.map(|region| region.domains.as_slice()).unwrap_or_default();
     let roster = lock(&context.roster);
     domains.iter().map(|domain| roster.alive_in(domain).count()).sum::<usize>().max(1)
@@ -107,13 +107,13 @@
     };
     let token = token(context, lease);
     let held: BTreeSet<u32> = lock(&context.grant_manager).held().collect();
-    let taken: BTreeMap<u32, &Entry> =
+    let stored: BTreeMap<u32, &Entry> =
         entries.iter().filter_map(|entry| Some((slot_number(&entry.key)?, entry))).collect();
-    let ours = taken.iter().filter(|(number, entry)| entry.value == token && !held.contains(number));
-    let ours = ours.map(|(number, entry)| (*number, entry.revision));
+    let own = stored.iter().filter(|(number, entry)| entry.value == token && !held.contains(number));
+    let own = own.map(|(number, entry)| (*number, entry.revision));
     let start = (context.incarnation % u64::from(SLOTS)) as u32;
-    let free = (0..SLOTS).map(|step| (start + step) % SLOTS).filter(|number| !taken.contains_key(number));
-    let wanted: Vec<(u32, u64)> = ours.chain(free.map(|number| (number, 0))).take(count as usize).collect();
+    let free = (0..SLOTS).map(|step| (start + step) % SLOTS).filter(|number| !stored.contains_key(number));
+    let wanted: Vec<(u32, u64)> = own.chain(free.map(|number| (number, 0))).take(count as usize).collect();
     let set = |(number, expect): &(u32, u64)| {
         Change::set(&key::grant(region, *number), *expect, token.clone()).with_lease(lease)
     };
@@ -154,8 +154,8 @@
     let Ok(entries) = context.store.list(&key::grants(region)) else {
         return;
     };
-    let ours = entries.iter().filter(|entry| entry.value == token);
-    let changes: Vec<Change> = ours.map(|entry| Change::delete(&entry.key, entry.revision)).collect();
+    let own = entries.iter().filter(|entry| entry.value == token);
+    let changes: Vec<Change> = own.map(|entry| Change::delete(&entry.key, entry.revision)).collect();
     if !changes.is_empty() && context.store.commit(&changes).is_err() {
         log::debug!("grants: {} slots not released, free once their lease expires", held.len());
     }
--- a/crates/daemon/src/instance_list.rs
+++ b/crates/daemon/src/instance_list.rs
@@ -69,14 +69,14 @@
     /// Parses what is new in `mirror`; returns all servers, and the reason for each entry that was skipped.
     pub fn read(&mut self, mirror: &Mirror, catalog: Catalog, settings: &Settings) -> (Vec<Item>, BTreeSet<String>) {
         let mut previous = std::mem::take(&mut self.0);
-        for (key, held) in mirror.range(catalog.server_prefix) {
-            let unchanged = previous.remove_entry(key).filter(|(_, (revision, _))| *revision == held.revision);
+        for (key, stored) in mirror.range(catalog.server_prefix) {
+            let unchanged = previous.remove_entry(key).filter(|(_, (revision, _))| *revision == stored.revision);
             let (key, entry) = unchanged.unwrap_or_else(|| {
                 let name = key.strip_prefix(catalog.server_prefix).unwrap_or(key);
-                let server = (catalog.parse_server)(name, &held.value, settings);
-                let item = server.map(|server| Item::new(server.instance, held.seen + server.cold_for));
-                let result = item.map_err(|reason| format!("{key} at revision {}: {reason}", held.revision));
-                (key.to_owned(), (held.revision, result))
+                let server = (catalog.parse_server)(name, &stored.value, settings);
+                let item = server.map(|server| Item::new(server.instance, stored.seen + server.cold_for));
+                let result = item.map_err(|reason| format!("{key} at revision {}: {reason}", stored.revision));
+                (key.to_owned(), (stored.revision, result))
             });
             self.0.insert(key, entry);
         }
--- a/crates/daemon/src/logs/budget.rs
+++ b/crates/daemon/src/logs/budget.rs
@@ -1,34 +1,34 @@
-//! How many lines may be written.
+//! Limits the rate of log lines.
 
 use std::time::Duration;
 
 use base::rate::Bucket;
 use base::time::Time;
 
-/// Time's worth of lines that is saved up after some were left out: the lines that pass then stand together, and few of
-/// them say how many are missing.
-const SAVED: Duration = Duration::from_millis(100);
+/// After lines were left out, none passes until the budget of this time is saved up. Lines then pass in runs, and only the
+/// first of each run carries the number of those left out.
+const RESUME_AFTER: Duration = Duration::from_millis(100);
 
-/// Lines a second, with those left out since the last that passed.
+/// A budget of lines a second, which counts the lines left out since the last one that passed.
 #[derive(Debug, Clone)]
 pub struct Budget {
     bucket: Bucket,
-    /// Lines that are saved up after some were left out.
-    saved: f64,
+    /// Budget, in lines, that must be saved up before lines pass again.
+    resume_level: f64,
     left_out: u64,
 }
 
 impl Budget {
-    /// A budget of `per_second` lines a second; twice that at once.
+    /// Creates a budget of `per_second` lines a second, with a burst of twice that.
     pub fn new(per_second: u32, now: Time) -> Self {
         let rate = f64::from(per_second);
-        let saved = (rate * SAVED.as_secs_f64()).max(1.0);
-        Self { bucket: Bucket::new(rate, 2.0 * rate, now), saved, left_out: 0 }
+        let resume_level = (rate * RESUME_AFTER.as_secs_f64()).max(1.0);
+        Self { bucket: Bucket::new(rate, 2.0 * rate, now), resume_level, left_out: 0 }
     }
 
-    /// Whether a line may pass; if so, how many were left out before it.
+    /// Returns the number of lines left out before this one if it may pass, and `None` if it is left out too.
     pub fn pass(&mut self, now: Time) -> Option<u64> {
-        let enough = self.left_out == 0 || self.bucket.level(now) >= self.saved;
+        let enough = self.left_out == 0 || self.bucket.level(now) >= self.resume_level;
         if enough && self.bucket.take(1.0, now) {
             return Some(std::mem::take(&mut self.left_out));
         }
@@ -36,7 +36,7 @@
         None
     }
 
-    /// A line that passed could not be written after all.
+    /// Counts `lines` that passed, or were reported by one that passed, but could not be written.
     pub const fn record_lost(&mut self, lines: u64) {
         self.left_out += lines;
     }
--- a/crates/daemon/src/logs/levels.rs
+++ b/crates/daemon/src/logs/levels.rs
@@ -1,4 +1,4 @@
-//! Which lines are written, by the part that they come from.
+//! Log levels by component.
 
 use std::collections::BTreeMap;
 use std::sync::{PoisonError, RwLock};
@@ -6,42 +6,44 @@
 use config::configs::Settings;
 use log::{Level, LevelFilter};
 
-/// Levels in force in this process: it has one log.
+/// The levels in force; one for the process, which has one log.
 static IN_FORCE: RwLock<Option<Levels>> = RwLock::new(None);
 
-/// The level of each part.
+/// The log level of each component.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Levels {
-    usual: LevelFilter,
-    parts: BTreeMap<String, LevelFilter>,
+    /// The level of components that have none of their own.
+    default: LevelFilter,
+    components: BTreeMap<String, LevelFilter>,
 }
 
 impl Levels {
-    /// The levels that the settings name; `info` where they name none.
+    /// Returns the levels of the settings; `info` where they name none.
     pub fn new(settings: &Settings) -> Self {
         let level = |text: &String| text.parse().unwrap_or(LevelFilter::Info);
-        let parts = settings.log_parts.iter().map(|(part, text)| (part.clone(), level(text)));
-        Self { usual: level(&settings.log), parts: parts.collect() }
+        let components = settings.log_parts.iter().map(|(component, text)| (component.clone(), level(text)));
+        Self { default: level(&settings.log), components: components.collect() }
     }
 
-    /// Whether a line of `level` that begins with the name of its part is written.
+    /// Whether a line of `level` is written; it begins with its component's name and a colon.
     pub fn allow(&self, line: &str, level: Level) -> bool {
-        let part = line.split(':').next().unwrap_or_default();
-        level <= self.parts.get(part).copied().unwrap_or(self.usual)
+        let component = line.split(':').next().unwrap_or_default();
+        level <= self.components.get(component).copied().unwrap_or(self.default)
     }
 
-    fn most(&self) -> LevelFilter {
-        self.parts.values().copied().fold(self.usual, Ord::max)
+    /// Returns the most verbose level of all components.
+    fn max(&self) -> LevelFilter {
+        self.components.values().copied().fold(self.default, Ord::max)
     }
 }
 
-/// Puts levels into force; lines that no part wants cost nothing.
+/// Applies levels to this process. Lines above all components' levels are then not even formatted.
 pub fn set(levels: Levels) {
-    log::set_max_level(levels.most());
+    log::set_max_level(levels.max());
     *IN_FORCE.write().unwrap_or_else(PoisonError::into_inner) = Some(levels);
 }
 
-/// Whether a line is written by the levels in force.
+/// Whether the levels in force allow a line of `level`; all lines pass before any are set.
 pub fn allowed(line: &str, level: Level) -> bool {
     let in_force = IN_FORCE.read().unwrap_or_else(PoisonError::into_inner);
     in_force.as_ref().is_none_or(|levels| levels.allow(line, level))
--- a/crates/daemon/src/logs/mod.rs
+++ b/crates/daemon/src/logs/mod.rs
@@ -1,7 +1,7 @@
-//! Logs: one short line each, with a prefix for the part and fields behind it, on standard output.
+//! Logs on standard output: a line each, with the component as prefix and fields at the end.
 //!
-//! A line never waits for its reader: it goes into a bounded buffer that a thread of its own empties. Lines beyond
-//! the budget of a second, or that find the buffer full, are left out, counted and told.
+//! Logging never blocks on the reader of standard output: lines go into a bounded buffer that a thread of its own writes
+//! out. Lines beyond the budget, or that find the buffer full, are left out; the next line that passes has their number.
 
 mod budget;
 mod levels;
@@ -23,19 +23,19 @@
 /// Environment variable that overrides the level of the settings.
 const VARIABLE: &str = "HEMLOCK_LOG";
 
-/// Starts logging as the settings say.
+/// Starts logging with the levels and the budget of the settings.
 pub fn start(settings: &Settings) {
     let instance = settings.instance.clone();
     let per_second = settings.log_lines;
-    // Libraries log below warnings only when asked for by the variable; the levels of parts decide on the rest.
+    // Libraries log below warnings only if the variable asks for it; the components' levels filter the daemon's own lines.
     let filter = "warn,daemon=trace,kernel=trace";
     let mut builder = Builder::from_env(Env::default().filter_or(VARIABLE, filter));
     builder.target(Target::Pipe(Box::new(Buffer::start(per_second, std::io::stdout()))));
-    let asked = std::env::var_os(VARIABLE).is_some();
+    let overridden = std::env::var_os(VARIABLE).is_some();
     builder.format(move |out, record| {
         let args = record.args();
         let text = args.as_str().map_or_else(|| Cow::Owned(args.to_string()), Cow::Borrowed);
-        if !asked && !levels::allowed(&text, record.level()) {
+        if !overridden && !levels::allowed(&text, record.level()) {
             return Ok(());
         }
         let mut fields = Fields(String::new());
@@ -51,31 +51,31 @@
     set(Levels::new(settings));
 }
 
-/// Logs each panic of a thread, libraries' own threads among them, besides what is usually done with it.
+/// Logs each panic of any thread, also of libraries' threads, and then runs the previous panic hook.
 pub fn log_panics() {
-    let usual = std::panic::take_hook();
+    let previous = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         let place = panic.location().map(ToString::to_string).unwrap_or_default();
         let reason = panic.payload_as_str().unwrap_or("not told");
         log::error!("life: thread panicked place={place} reason={reason:?}");
-        usual(panic);
+        previous(panic);
     }));
 }
 
-/// Puts levels into force, unless the environment names others.
+/// Applies levels, unless the environment variable overrides them.
 pub fn set(levels: Levels) {
     if std::env::var_os(VARIABLE).is_none() {
         levels::set(levels);
     }
 }
 
-/// Seconds of the calendar with milliseconds, for reading logs of several instances together.
+/// Returns the seconds since the Unix epoch with milliseconds, by which logs of several instances are merged.
 fn timestamp() -> String {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("{}.{:03}", since.as_secs(), since.subsec_millis())
 }
 
-/// Fields as ` name=value`, in the order in which they were given.
+/// Formats fields as ` name=value`, in their order in the call.
 struct Fields(String);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
--- a/crates/daemon/src/logs/writer.rs
+++ b/crates/daemon/src/logs/writer.rs
@@ -1,4 +1,4 @@
-//! A bounded buffer of lines that a thread writes out.
+//! A bounded buffer of log lines, written out by a thread.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,21 +8,21 @@
 use super::budget::Budget;
 use crate::clock::Clock;
 
-/// Lines that wait to be written at most.
-const WAITING: usize = 1_024;
+/// Most lines that wait to be written.
+const MAX_WAITING: usize = 1_024;
 
-/// Field of the next line that passes: how many were left out before it.
+/// Field of a line that tells how many were left out before it.
 const LEFT_OUT_FIELD: &str = "lines_left_out";
 
-/// Lines left out by this process: it has one standard output.
+/// Lines left out; one count for the process, which has one standard output.
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
 
-/// Lines left out since the start.
+/// Returns the number of lines left out since the start.
 pub fn left_out() -> u64 {
     LEFT_OUT.load(Ordering::Relaxed)
 }
 
-/// Where the logging library writes its lines.
+/// The target that the logging library writes its lines to.
 #[derive(Debug)]
 pub struct Buffer {
     lines: SyncSender<Vec<u8>>,
@@ -31,13 +31,13 @@
 }
 
 impl Buffer {
-    /// A buffer that passes `per_second` lines a second on to `out`.
+    /// Starts a thread that writes up to `per_second` lines a second to `out`.
     pub fn start<W: Write + Send + 'static>(per_second: u32, out: W) -> Self {
-        let (lines, waiting) = sync_channel(WAITING);
+        let (lines, waiting) = sync_channel(MAX_WAITING);
         let clock = Clock::new();
-        let started = thread::Builder::new().name("logs".to_owned()).spawn(move || empty(&waiting, out));
+        let started = thread::Builder::new().name("logs".to_owned()).spawn(move || write_out(&waiting, out));
         if let Err(error) = started {
-            // The receiver is gone with the thread that did not start: lines are dropped and counted.
+            // The receiver was dropped with the thread that did not start, so all lines are left out and counted.
             eprintln!("logs: no lines are written reason={:?}", error.to_string());
         }
         Self { lines, budget: Budget::new(per_second, clock.now()), clock }
@@ -45,7 +45,7 @@
 }
 
 impl Write for Buffer {
-    /// Takes one line; it is left out rather than waited with.
+    /// Buffers one line, or leaves it out if the budget is spent or the buffer full; never blocks.
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if let Some(left_out) = self.budget.pass(self.clock.now()) {
             let mut text = buf.to_vec();
@@ -68,7 +68,8 @@
     }
 }
 
-fn empty<W: Write>(waiting: &Receiver<Vec<u8>>, mut out: W) {
+/// Writes lines to `out` until the buffer is dropped or a write fails.
+fn write_out<W: Write>(waiting: &Receiver<Vec<u8>>, mut out: W) {
     while let Ok(line) = waiting.recv() {
         if out.write_all(&line).and_then(|()| out.flush()).is_err() {
             return;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,14 +1,14 @@
-//! Counters for operators, in the Prometheus form.
+//! Metrics for operators, in the Prometheus text format.
 
 use prometheus::{
     Encoder as _, Gauge, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec,
     Opts, Registry, TextEncoder,
 };
 
-/// Bounds of latency buckets, in seconds.
+/// Upper bounds of latency buckets, in seconds.
 const LATENCY_S: [f64; 14] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 30.0];
 
-/// All counters.
+/// All metrics of a daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -16,68 +16,68 @@
     pub lookups: IntCounter,
     /// Requests answered, by class and result (`ok` or an error kind).
     pub requests: IntCounterVec,
-    /// Time to the answer, by class, in seconds.
+    /// Time from a request's arrival to its answer, by class, in seconds.
     pub latency: HistogramVec,
     /// Time from a request's arrival to its first attempt, in seconds.
     pub wait_time: Histogram,
-    /// Attempts begun, by whether the request was sent before and whether the server knew its object.
+    /// Attempts started, by whether the request was sent before and whether the server has handled its object lately.
     pub sends: IntCounterVec,
-    /// Attempts, by ending.
+    /// Attempts ended, by ending.
     pub attempts: IntCounterVec,
-    /// Time of an attempt, by ending, in seconds.
+    /// Duration of an attempt, by ending, in seconds.
     pub attempt_time: HistogramVec,
-    /// Backend servers taken out of use for a while.
+    /// Ejections of backend servers.
     pub ejections: IntCounter,
-    /// Backend servers that said that they leave before the list did.
+    /// Backend servers that announced that they leave before the list said so.
     pub servers_leaving: IntCounter,
-    /// Answers of backend servers that want nothing for a while.
+    /// Answers by which backend servers paused this daemon.
     pub servers_paused: IntCounter,
-    /// Times that the process stood still.
+    /// Stalls of the process.
     pub stalls: IntCounter,
     /// Bytes of bodies to and from backend servers of other regions, by direction.
     pub remote_bytes: IntCounterVec,
-    /// Requests that wait.
+    /// Requests that wait for a backend server.
     pub queued: IntGauge,
     /// Attempts in flight.
     pub in_flight: IntGauge,
-    /// Connections of callers.
+    /// Open connections of callers.
     pub connections: IntGauge,
-    /// Callers that went away before they were answered.
-    pub callers_gone: IntCounter,
+    /// Callers that disconnected before they were answered.
+    pub callers_disconnected: IntCounter,
     /// Connections made to backend servers.
     pub backend_connects: IntCounter,
-    /// Revision of the policy in force.
+    /// Revision of the policy in force; zero for the policy of the settings.
     pub policy_revision: IntGauge,
-    /// Copies of the policy that were refused.
+    /// Policy documents that were refused.
     pub policy_refused: IntCounter,
-    /// Parts of the policy in force that cannot be used or are not known.
+    /// Items of the policy in force that cannot be used or are unknown.
     pub policy_passed_over: IntGauge,
     /// Entries of backend servers that cannot be used.
     pub servers_passed_over: IntGauge,
     /// Exchanges with peers, by result.
     pub exchanges: IntCounterVec,
-    /// Members believed to live, ourselves among them.
+    /// Live members of the fleet as known here, this daemon included.
     pub members: IntGauge,
     /// Calls to the store, by purpose and result.
     pub store_calls: IntCounterVec,
-    /// Time since the store answered, in seconds.
+    /// Time since the store last answered, in seconds.
     pub store_age: Gauge,
-    /// Time since the list of backend servers was read or changed, in seconds.
+    /// Time since the list of backend servers was last read or changed, in seconds.
     pub list_age: Gauge,
-    /// Time since a peer answered, in seconds.
+    /// Time since a peer last answered, in seconds.
     pub peers_age: Gauge,
-    /// Living members that have not spoken to this daemon themselves for longer than so many seconds.
+    /// Live members that have sent this daemon no message themselves for longer than a threshold, by threshold in seconds.
     pub silent_peers: IntGaugeVec,
-    /// Log lines left out.
+    /// Log lines left out since the start.
     pub log_lines_left_out: IntGauge,
     /// Slots of the region's grants held.
     pub grant_slots: IntGauge,
-    /// Answers given again from memory.
+    /// Answers replayed from memory to a caller that sent its request again.
     pub replays: IntCounter,
 }
 
 impl Metrics {
-    /// Registers all counters.
+    /// Creates and registers all metrics.
     pub fn new() -> Self {
         let registry = Registry::new();
         Self {
@@ -105,7 +105,7 @@
             queued: gauge(&registry, "hemlock_queued", "Requests that wait"),
             in_flight: gauge(&registry, "hemlock_in_flight", "Attempts in flight"),
             connections: gauge(&registry, "hemlock_connections", "Connections of callers"),
-            callers_gone: counter(&registry, "hemlock_callers_gone_total", "Callers gone before their answer"),
+            callers_disconnected: counter(&registry, "hemlock_callers_gone_total", "Callers gone before their answer"),
             backend_connects: counter(
                 &registry,
                 "hemlock_backend_connects_total",
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The counters in the text form.
+    /// Renders all metrics as text.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: health, readiness, metrics, decisions in force, and burn.
+//! The operators' port: health, readiness, metrics, the present state of decisions, and service-level burn rates.
 
 use std::collections::BTreeMap;
 use std::io::Read as _;
@@ -15,15 +15,16 @@
 use crate::plugin::Plugin;
 use crate::{Context, logs};
 
-/// Largest request body read and thrown away, in bytes.
+/// Largest request body that is read and discarded, in bytes.
 const MAX_BODY_BYTES: u64 = 65_536;
-/// Times by which members are counted that have been silent for longer, in seconds: a few exchanges, and when to look.
-const SILENCES_S: [u64; 3] = [5, 30, 120];
+/// Thresholds of the metric of silent members, in seconds: 5 is a few exchanges; from 30 on an operator should look into it.
+const SILENCE_THRESHOLDS_S: [u64; 3] = [5, 30, 120];
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "operators", stage: 5, start })
 }
 
+/// The listening sockets, one for each address.
 struct Port(Vec<Arc<Server>>);
 
 impl kernel::Part for Port {
@@ -41,7 +42,7 @@
     Ok(Box::new(Port(servers)))
 }
 
-/// Answers operators at `address` on a thread of its own.
+/// Serves operators at `address` on a thread of its own; `key` is the setting that names the address.
 fn serve(context: &Arc<Context>, key: &str, address: &str) -> Result<Arc<Server>, String> {
     let server = Server::http(address)
         .map_err(|error| format!("key `{key}`: cannot listen at {address}: {error}; choose a free address"))?;
@@ -59,13 +60,13 @@
 /// Why a daemon is ready, or not.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Readiness {
-    /// Whether callers may be sent here.
+    /// Whether callers may send requests to this daemon.
     pub ready: bool,
-    /// What is missing, in short words.
+    /// What is missing, or limited although the daemon is ready; empty if nothing.
     pub reasons: Vec<&'static str>,
 }
 
-/// Whether the daemon is ready, and if not, why.
+/// Returns whether the daemon is ready, and if not, why.
 pub fn readiness(context: &Context) -> Readiness {
     let mut missing = Vec::new();
     let prepared = context.prepared();
@@ -91,7 +92,7 @@
 fn answer(context: &Arc<Context>, mut request: Request) {
     let mut body = Vec::new();
     if request.as_reader().take(MAX_BODY_BYTES).read_to_end(&mut body).is_err() {
-        log::debug!("operators: body skipped");
+        log::debug!("operators: body not read");
     }
     let path = request.url().split('?').next().unwrap_or_default().to_owned();
     let response = match path.as_str() {
@@ -101,7 +102,7 @@
             json(if readiness.ready { 200 } else { 503 }, &readiness)
         }
         "/metrics" => {
-            note_ages(context);
+            update_ages(context);
             text(200, context.metrics.render(), "text/plain; version=0.0.4")
         }
         "/decisions" => json(200, &decisions(context)),
@@ -109,7 +110,7 @@
         _ => text(404, b"try /health /ready /metrics /decisions /burn\n".to_vec(), "text/plain"),
     };
     if let Err(error) = request.respond(response) {
-        log::debug!("operators: answer skipped reason={:?}", error.to_string());
+        log::debug!("operators: answer not sent reason={:?}", error.to_string());
     }
 }
 
@@ -128,7 +129,7 @@
     incarnation: u64,
     state: String,
     domain: String,
-    /// Seconds since it last spoke to this daemon itself.
+    /// Seconds since it last sent this daemon a message itself, not through others; `None` if it never did.
     silent_s: Option<f64>,
 }
 
@@ -163,27 +164,27 @@
     queued: usize,
     poisonous: usize,
     drains: Vec<config::policy::Drain>,
-    /// What of the policy and of the entries of backend servers is not used, and why.
+    /// What is not used of the policy and of the entries of backend servers, one reason each.
     passed_over: Vec<String>,
 }
 
 fn decisions(context: &Context) -> Decisions {
     let now = context.now();
-    let in_force = context.policy();
+    let active = context.policy();
     let steering = context.steering();
     let roster = lock(&context.roster);
-    let words: BTreeMap<&str, Option<Duration>> = roster.words(now).collect();
+    let silence: BTreeMap<&str, Option<Duration>> = roster.words(now).collect();
     let members = roster.records().into_iter().map(|record| Member {
-        silent_s: words.get(record.name.as_str()).copied().flatten().map(|age| age.as_secs_f64()),
+        silent_s: silence.get(record.name.as_str()).copied().flatten().map(|age| age.as_secs_f64()),
         name: record.name,
         incarnation: record.incarnation,
         state: format!("{:?}", record.state).to_lowercase(),
         domain: record.domain,
     });
     let members = members.collect();
-    drop(words);
+    drop(silence);
     drop(roster);
-    let regions = in_force.regions.len() as u16;
+    let regions = active.regions.len() as u16;
     let row = |from: u16| (0..regions).map(|to| steering.shares.part(from, to)).collect();
     let name = |id: u32| steering.backends.get(&id).map_or_else(|| id.to_string(), |known| known.name.clone());
     let backends = context.driver.with_engine(|engine| {
@@ -216,36 +217,36 @@
         open: context.driver.with_engine(dispatch::Engine::open),
         queued: context.driver.with_engine(dispatch::Engine::queued),
         poisonous: context.driver.with_engine(|engine| engine.poisonous(now)),
-        drains: in_force.policy.drains.clone(),
+        drains: active.policy.drains.clone(),
         passed_over: passed_over(context),
     }
 }
 
 fn passed_over(context: &Context) -> Vec<String> {
-    let known = lock(&context.catalog_state);
-    known.policy_error.iter().chain(&known.policy_passed_over).chain(&known.entries_passed_over).cloned().collect()
+    let state = lock(&context.catalog_state);
+    state.policy_error.iter().chain(&state.policy_passed_over).chain(&state.entries_passed_over).cloned().collect()
 }
 
-/// Seconds since `seen`, a time in microseconds of the clock.
-fn age_s(seen: &AtomicU64, now: Time) -> f64 {
-    now.since(Time::from_micros(seen.load(Ordering::Relaxed))).as_secs_f64()
+/// Returns the seconds since `time`, which is in microseconds of the clock.
+fn age_s(time: &AtomicU64, now: Time) -> f64 {
+    now.since(Time::from_micros(time.load(Ordering::Relaxed))).as_secs_f64()
 }
 
-/// Brings the ages of what is believed up to date.
-fn note_ages(context: &Context) {
+/// Updates the metrics that tell how old the daemon's knowledge is.
+fn update_ages(context: &Context) {
     let now = context.now();
-    let listed = lock(&context.instance_list).read_at.unwrap_or(Time::ZERO);
+    let list_read_at = lock(&context.instance_list).read_at.unwrap_or(Time::ZERO);
     context.metrics.store_age.set(age_s(&context.store_answered_at, now));
     context.metrics.peers_age.set(age_s(&context.peer_answered_at, now));
-    note_words(context, now);
-    context.metrics.list_age.set(now.since(listed).as_secs_f64());
+    update_silent_peers(context, now);
+    context.metrics.list_age.set(now.since(list_read_at).as_secs_f64());
     context.metrics.log_lines_left_out.set(logs::left_out() as i64);
 }
 
-/// Counts the members by how long they have not spoken to this daemon themselves.
-fn note_words(context: &Context, now: Time) {
+/// Counts, for each threshold, the members that have sent this daemon no message themselves for longer.
+fn update_silent_peers(context: &Context, now: Time) {
     let roster = lock(&context.roster);
-    for seconds in SILENCES_S {
+    for seconds in SILENCE_THRESHOLDS_S {
         let limit = Duration::from_secs(seconds);
         let silent = roster.words(now).filter(|(_, age)| age.is_none_or(|age| age > limit)).count();
         context.metrics.silent_peers.with_label_values(&[&seconds.to_string()]).set(silent as i64);
@@ -254,11 +255,11 @@
 
 fn burn_report(context: &Context) -> Report {
     let now = context.now();
-    let in_force = context.policy();
+    let active = context.policy();
     let region = &context.settings.region;
     let mut series = lock(&context.burn);
     let line = |(class, series): (&String, &mut burn::Series)| {
-        let target = in_force.policy.classes.get(class)?;
+        let target = active.policy.classes.get(class)?;
         Some(Line::new(class, region, target.target_share, series, now))
     };
     Report { lines: series.iter_mut().filter_map(line).collect() }
--- a/crates/daemon/src/plugin.rs
+++ b/crates/daemon/src/plugin.rs
@@ -1,4 +1,4 @@
-//! The daemon's plug-ins register themselves here.
+//! Registration of the daemon's plug-ins, and the periodic threads of some.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,38 +13,38 @@
 
 inventory::collect!(Plugin);
 
-/// All registered plug-ins.
+/// Returns all registered plug-ins, in no particular order.
 pub fn all() -> impl Iterator<Item = &'static kernel::Plugin<Context>> {
     inventory::iter::<Plugin>().map(|plugin| &plugin.0)
 }
 
-/// Longest sleep between two looks at the stop flag.
-const NAP: Duration = Duration::from_millis(20);
+/// Longest sleep between two checks of the stop flag.
+const MAX_NAP: Duration = Duration::from_millis(20);
 
-/// A thread that does the same thing again and again.
+/// A thread that runs the same task periodically.
 #[derive(Debug)]
 pub struct PeriodicThread {
     stop: Arc<AtomicBool>,
 }
 
 impl PeriodicThread {
-    /// Calls `turn` at once and then after each pause that it returns.
-    pub fn start<F>(name: &str, mut turn: F) -> Result<Self, String>
+    /// Starts a thread that calls `task` at once and then after each pause that it returns.
+    pub fn start<F>(name: &str, mut task: F) -> Result<Self, String>
     where
         F: FnMut() -> Duration + Send + 'static,
     {
         let stop = Arc::new(AtomicBool::new(false));
-        let seen = Arc::clone(&stop);
+        let stop_flag = Arc::clone(&stop);
         let body = move || {
-            while !seen.load(Ordering::Relaxed) {
-                nap(turn(), &seen);
+            while !stop_flag.load(Ordering::Relaxed) {
+                sleep(task(), &stop_flag);
             }
         };
         thread::Builder::new().name(name.to_owned()).spawn(body).map_err(|error| error.to_string())?;
         Ok(Self { stop })
     }
 
-    /// Ends the loop after its present turn.
+    /// Ends the thread after the present run of its task; does not wait for it.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
@@ -56,10 +56,11 @@
     }
 }
 
-fn nap(mut left: Duration, stop: &AtomicBool) {
+/// Sleeps for `left`, or until `stop` is set.
+fn sleep(mut left: Duration, stop: &AtomicBool) {
     while !left.is_zero() && !stop.load(Ordering::Relaxed) {
-        let part = left.min(NAP);
-        thread::sleep(part);
-        left -= part;
+        let nap = left.min(MAX_NAP);
+        thread::sleep(nap);
+        left -= nap;
     }
 }
--- a/crates/daemon/src/program.rs
+++ b/crates/daemon/src/program.rs
@@ -59,7 +59,7 @@
     ExitCode::from(code)
 }
 
-/// Runs the program `name` on the platform that `adapter` joins.
+/// Runs the program `name` on the platform of `adapter`; returns its exit code.
 pub fn main(name: &str, adapter: Adapter) -> ExitCode {
     let command = match parse() {
         Ok(command) => command,
--- a/crates/daemon/tests/logs.rs
+++ b/crates/daemon/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Bounds on the volume of logs, and a reader that reads nothing.
+//! Log budget, levels, panics, and a standard output that nobody reads.
 
 use std::io::Write;
 use std::path::Path;
@@ -22,33 +22,34 @@
     assert_eq!(passed(&mut budget, start), vec![0; 200], "two seconds' worth at once");
     let later = passed(&mut budget, Time::from_millis(2_000));
     assert_eq!(later.len(), 100);
-    assert_eq!(later[0], 800, "the next line tells how many were left out");
+    assert_eq!(later[0], 800, "the next line has the number of those left out");
 }
 
-/// Load: ten times the budget for two seconds. A line on what is missing before each that passes would take half of it.
+/// Guards against a budget that is spent on reports of left-out lines: at ten times the budget for two seconds, one such
+/// line before each that passes would take half of it.
 #[test]
-fn few_lines_tell_how_many_were_left_out() {
+fn few_lines_report_how_many_were_left_out() {
     let start = Time::from_millis(1_000);
     let mut budget = Budget::new(100, start);
     (0..200).for_each(|_| assert_eq!(budget.pass(start), Some(0)));
     let passed: Vec<u64> = (0..2_000).filter_map(|ms| budget.pass(start + Duration::from_millis(ms))).collect();
     assert!(passed.len() >= 180, "{} of 200 lines passed", passed.len());
-    let telling = passed.iter().filter(|left_out| **left_out > 0).count();
-    assert!(telling <= 20, "{telling} of {} lines tell of others", passed.len());
-    let last = budget.pass(start + Duration::from_secs(10)).expect("there is room again");
-    assert_eq!(passed.iter().sum::<u64>() + passed.len() as u64 + last, 2_000, "none is forgotten");
+    let reporting = passed.iter().filter(|left_out| **left_out > 0).count();
+    assert!(reporting <= 20, "{reporting} of {} lines report others", passed.len());
+    let last = budget.pass(start + Duration::from_secs(10)).expect("the budget has recovered");
+    assert_eq!(passed.iter().sum::<u64>() + passed.len() as u64 + last, 2_000, "all are counted");
 }
 
-/// A standard output whose reader never reads: each write waits until the test ends.
-struct Stuck {
-    begun: Sender<()>,
-    ends: Receiver<()>,
+/// A standard output that nobody reads: each write blocks until the test ends.
+struct Blocked {
+    started: Sender<()>,
+    end: Receiver<()>,
 }
 
-impl Write for Stuck {
+impl Write for Blocked {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
-        self.begun.send(()).expect("the test listens");
-        assert!(self.ends.recv().is_err(), "nothing is ever sent");
+        self.started.send(()).expect("the test listens");
+        assert!(self.end.recv().is_err(), "nothing is ever sent");
         Ok(buf.len())
     }
 
@@ -58,23 +59,23 @@
 }
 
 #[test]
-fn a_reader_that_reads_nothing_holds_nobody_up() {
-    let (begun, writing) = channel();
-    let (end, ends) = channel::<()>();
-    let mut buffer = Buffer::start(1_000_000, Stuck { begun, ends });
+fn a_reader_that_reads_nothing_blocks_no_writer() {
+    let (started, writing) = channel();
+    let (end_sender, end) = channel::<()>();
+    let mut buffer = Buffer::start(1_000_000, Blocked { started, end });
     buffer.write_all(b"first\n").expect("lines are always taken");
     writing.recv().expect("the line is being written");
-    // More lines than wait at most; were one waited for, this would not end, since the first is still being written.
+    // More lines than the buffer holds. If one of them blocked, the test would hang: the first is still being written.
     let before = left_out();
     (0..5_000).for_each(|_| buffer.write_all(b"line\n").expect("lines are always taken"));
     assert!(left_out() - before >= 5_000 - 2_000, "lines beyond the buffer are left out and counted");
-    drop(end);
+    drop(end_sender);
 }
 
 const SETTINGS: &str = "instance = \"e\"\ndomain = \"d\"\nregion = \"r\"\n";
 
-fn settings(rest: &str) -> Settings {
-    Settings::parse("test", &format!("{rest}{SETTINGS}")).expect("the settings are good")
+fn settings(log_settings: &str) -> Settings {
+    Settings::parse("test", &format!("{log_settings}{SETTINGS}")).expect("the settings are good")
 }
 
 #[rstest]
@@ -83,12 +84,12 @@
 #[case("log = \"warn\"\nlog_parts = { dispatch = \"debug\" }\n", "dispatch: sent", Level::Debug, true)]
 #[case("log = \"warn\"\nlog_parts = { dispatch = \"debug\" }\n", "peers: joined", Level::Info, false)]
 #[case("log_parts = { list = \"error\" }\n", "list: servers added", Level::Info, false)]
-fn each_part_has_its_level(#[case] text: &str, #[case] line: &str, #[case] level: Level, #[case] written: bool) {
+fn each_component_has_its_level(#[case] text: &str, #[case] line: &str, #[case] level: Level, #[case] written: bool) {
     assert_eq!(Levels::new(&settings(text)).allow(line, level), written);
 }
 
 #[test]
-fn a_reload_takes_the_levels_and_bad_settings_change_nothing() {
+fn a_reload_applies_the_levels_and_bad_settings_change_nothing() {
     let runtime = tokio::runtime::Runtime::new().expect("it starts");
     let context = Context::new(settings(""), Adapter::native(), runtime.handle().clone());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("reload.toml");
@@ -102,10 +103,10 @@
     assert_eq!(reload(&format!("log = \"error\"\n{SETTINGS}")), LevelFilter::Error);
 }
 
-/// A standard output that keeps what is written.
-struct Kept(Sender<Vec<u8>>);
+/// A standard output that records what is written.
+struct Recorder(Sender<Vec<u8>>);
 
-impl Write for Kept {
+impl Write for Recorder {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.send(buf.to_vec()).expect("the test listens");
         Ok(buf.len())
@@ -117,9 +118,9 @@
 }
 
 #[test]
-fn the_next_line_tells_in_a_field_how_many_were_left_out() {
-    let (kept, written) = channel();
-    let mut buffer = Buffer::start(1, Kept(kept));
+fn the_next_line_has_the_number_of_lines_left_out_in_a_field() {
+    let (lines, written) = channel();
+    let mut buffer = Buffer::start(1, Recorder(lines));
     let mut write = |number: u64| {
         let line = format!("1.0 INFO instance=e list: read number={number}\n");
         buffer.write_all(line.as_bytes()).expect("it is taken");
@@ -136,7 +137,7 @@
     assert_eq!(missing + lines.len() as u64, 101, "{lines:?}");
 }
 
-/// Keeps the lines that tell of panics.
+/// A logger that records the lines about panics.
 struct Panics(Mutex<Vec<String>>);
 
 static PANICS: Panics = Panics(Mutex::new(Vec::new()));
@@ -163,6 +164,7 @@
     daemon::logs::log_panics();
     assert!(std::thread::spawn(|| panic!("a library's mistake")).join().is_err());
     let lines = PANICS.0.lock().expect("no thread panics with it");
-    let told = lines.iter().any(|line| line.starts_with("life: thread panicked place=") && line.contains("library's"));
-    assert!(told, "{lines:?}");
+    let logged =
+        lines.iter().any(|line| line.starts_with("life: thread panicked place=") && line.contains("library's"));
+    assert!(logged, "{lines:?}");
 }
