--- a/crates/daemon/src/at_most_once.rs
+++ b/crates/daemon/src/at_most_once.rs
@@ -102,8 +102,8 @@
     outcome
 }
 
-/// Returns what this daemon knows of a key that it claimed, for a peer. A key that never ran
-/// here never will from then on, as the peer takes it over.
+/// Returns what this daemon knows of a key that it claimed, for a peer. A key that never ran here never will from then
+/// on, as the peer takes it over.
 pub fn claim_status(context: &Context, key: u128) -> Word<Arc<Response>> {
     let now = context.now();
     lock(&context.ledger).word(key, now)
@@ -176,8 +176,7 @@
     }
 }
 
-/// Returns the lease for claims that are written now; grants a new one once the last was used for
-/// [`LEASE_USE`].
+/// Returns the lease for claims that are written now; grants a new one once the last was used for [`LEASE_USE`].
 fn claim_lease(context: &Context) -> store::Result<Lease> {
     let now = context.now();
     let mut current = lock(&context.claim_lease);
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clocks; no other module of the daemon reads them, but for the timestamps of log lines.
+//! The process's clocks; no other module of the daemon reads them, except for the timestamps of log lines.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -266,7 +266,7 @@
         let Some(outgoing) = outgoing else {
             return self.finish(context, sending.attempt, Ending::Withheld(Kind::Expired), None);
         };
-        // The map stays locked until the attempt is in it, also if the attempt ends at once.
+        // Keeps the map locked until the attempt is in it, so that an attempt that ends at once finds its entry.
         let mut running = lock(&self.running);
         let started_at = context.now();
         let task = context.runtime.spawn(attempt::run(Arc::clone(context), Arc::clone(&outgoing), sending));
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -30,7 +30,7 @@
     pub ejections: IntCounter,
     /// Backend servers that announced that they leave before the list said so.
     pub servers_leaving: IntCounter,
-    /// Answers by which backend servers paused this daemon.
+    /// Answers by which backend servers asked for a pause.
     pub servers_paused: IntCounter,
     /// Stalls of the process.
     pub stalls: IntCounter,
