--- a/crates/daemon/src/backends/leaving.rs
+++ b/crates/daemon/src/backends/leaving.rs
@@ -27,7 +27,7 @@
     }
     if let Some(pause) = head::text(headers, &RETRY_AFTER).and_then(pause) {
         let now = context.now();
-        context.driver.with(context, |engine| engine.note_pause(backend, pause, now));
+        context.driver.with(context, |engine| engine.record_pause(backend, pause, now));
     }
 }
 
@@ -37,7 +37,7 @@
     let unborn = steering.backends.get(&backend).is_some_and(|instance| instance.born == 0);
     let now = context.now();
     let until = now + if unborn { LEAVES_UNBORN } else { LEAVES };
-    context.driver.with(context, |engine| engine.note_leaving(backend, until, now))
+    context.driver.with(context, |engine| engine.record_leaving(backend, until, now))
 }
 
 /// Seconds, with fractions or without.
--- a/crates/daemon/src/backends/probe.rs
+++ b/crates/daemon/src/backends/probe.rs
@@ -106,7 +106,7 @@
     let now = context.now();
     let at = now - Duration::from_millis(load.age_ms);
     let report = Report { load: load.busy + load.queued, draining: load.draining, pace: None, at };
-    context.driver.with(context, |engine| engine.report(id, report, now));
+    context.driver.with(context, |engine| engine.apply_report(id, report, now));
     Some((instance.domain.clone(), report.load, instance.slots))
 }
 
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -11,7 +11,7 @@
 use config::configs::Settings;
 use config::policy::Policy;
 use dispatch::Engine;
-use dispatch::engine::{Extra, Limits};
+use dispatch::engine::{Budgets, Limits};
 use fleet::copy::Holder;
 use fleet::message::{Record, State};
 use fleet::roster::{Roster, Times};
@@ -134,10 +134,10 @@
         let times = Times { suspect: Duration::from_millis(settings.fleet.suspect_ms) };
         let timeout = Duration::from_millis(settings.platform.timeout_ms);
         let limits = Limits {
-            queued: settings.dispatch.max_queued as usize,
-            in_flight: settings.dispatch.max_in_flight as usize,
-            poison: Duration::from_secs(settings.dispatch.poison_s),
-            extra: Extra::DEFAULT,
+            max_queued: settings.dispatch.max_queued as usize,
+            max_in_flight: settings.dispatch.max_in_flight as usize,
+            quarantine: Duration::from_secs(settings.dispatch.poison_s),
+            budgets: Budgets::DEFAULT,
         };
         let keys = ledger::table::Limits {
             kept: Duration::from_secs(settings.platform.claim_kept_s),
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -9,7 +9,7 @@
 use base::time::Time;
 use bytes::Bytes;
 use dispatch::backend::{BackendId, Report};
-use dispatch::engine::{Arrival, Note, Why};
+use dispatch::engine::{Arrival, Basis, Decision};
 use dispatch::{Action, Ending, Engine, Verdict};
 use http::{HeaderMap, Method};
 use tokio::sync::{Notify, oneshot};
@@ -143,7 +143,7 @@
         let (reply, outcome) = oneshot::channel();
         let Submission { class, fingerprint, limit, object } = submission;
         let bytes = outgoing.body.len() as u64;
-        let arrival = Arrival { request: outgoing.number, class, fingerprint, bytes, limit, object };
+        let arrival = Arrival { request: outgoing.number, class, fingerprint, bytes, timeout: limit, object };
         stall::note(context);
         let now = context.now();
         lock(&self.pending).insert(outgoing.number, Pending { outgoing, reply, came: now });
@@ -178,8 +178,8 @@
     pub fn with<T>(&self, context: &Arc<Context>, work: impl FnOnce(&mut Engine) -> T) -> T {
         let mut engine = lock(&self.engine);
         let result = work(&mut engine);
-        let notes = engine.take_notes();
-        let actions = engine.take();
+        let notes = engine.take_decisions();
+        let actions = engine.take_actions();
         let losses = engine.take_losses();
         context.metrics.queued.set(engine.queued() as i64);
         context.metrics.in_flight.set(engine.in_flight() as i64);
@@ -203,9 +203,9 @@
 
     fn perform(&self, context: &Arc<Context>, action: Action) {
         match action {
-            Action::Start { request, attempt, backend, deadline, again, why } => {
-                let sending = attempt::Sending { attempt, backend, deadline, again };
-                self.note_start(context, request, sending, why);
+            Action::Start { request, attempt, backend, deadline, retry, basis } => {
+                let sending = attempt::Sending { attempt, backend, deadline, again: retry };
+                self.note_start(context, request, sending, basis);
                 self.start(context, request, sending);
             }
             Action::Cancel { attempt, backend } => {
@@ -217,32 +217,32 @@
                     self.finish(context, attempt, Ending::Cancelled, None);
                 }
             }
-            Action::Answer { request, verdict, after } => self.answer(request, verdict, after),
+            Action::Answer { request, verdict, retry_after: after } => self.answer(request, verdict, after),
         }
     }
 
     /// Tells in logs and metrics where a request goes and what that rests on.
-    fn note_start(&self, context: &Context, request: u64, sending: attempt::Sending, why: Why) {
+    fn note_start(&self, context: &Context, request: u64, sending: attempt::Sending, basis: Basis) {
         let pending = lock(&self.pending).get(&request).map(|pending| (Arc::clone(&pending.outgoing), pending.came));
         let Some((outgoing, came)) = pending else { return };
         let waited = context.now().since(came);
         let again = if sending.again { "yes" } else { "no" };
-        context.metrics.sends.with_label_values(&[again, notes::warm(why)]).inc();
+        context.metrics.sends.with_label_values(&[again, notes::warm(basis)]).inc();
         if !sending.again {
             context.metrics.waits.observe(waited.as_secs_f64());
         }
-        notes::sent(context, &outgoing, sending, waited, why);
+        notes::sent(context, &outgoing, sending, waited, basis);
     }
 
     /// Logs what was decided or is believed now, before the requests concerned are answered.
-    fn note(&self, context: &Context, note: &Note) {
+    fn note(&self, context: &Context, note: &Decision) {
         let request = match note {
-            Note::Held { request, .. } | Note::Refused { request, .. } => Some(*request),
-            Note::Ejected { .. }
-            | Note::Trusted { .. }
-            | Note::Leaving { .. }
-            | Note::Paused { .. }
-            | Note::Poisonous { .. } => None,
+            Decision::Held { request, .. } | Decision::Refused { request, .. } => Some(*request),
+            Decision::Ejected { .. }
+            | Decision::Reinstated { .. }
+            | Decision::Leaving { .. }
+            | Decision::Paused { .. }
+            | Decision::Quarantined { .. } => None,
         };
         let pending = lock(&self.pending);
         let outgoing = request.and_then(|request| pending.get(&request)).map(|pending| Arc::clone(&pending.outgoing));
@@ -264,7 +264,7 @@
 
     /// Takes in a load report that came with an answer; it is acted on when that answer is.
     pub fn note_report(&self, backend: BackendId, report: Report) {
-        lock(&self.engine).note_report(backend, report);
+        lock(&self.engine).record_report(backend, report);
     }
 
     fn answer(&self, request: u64, verdict: Verdict, after: Option<Duration>) {
@@ -299,7 +299,7 @@
 async fn run(context: &Arc<Context>) {
     let driver = &context.driver;
     loop {
-        let wake = driver.look(Engine::wake);
+        let wake = driver.look(Engine::next_wakeup);
         let sleep = wake.map_or(LONGEST_SLEEP, |wake| context.clock.until(wake).min(LONGEST_SLEEP));
         tokio::select! {
             () = tokio::time::sleep(sleep) => {}
@@ -307,7 +307,7 @@
         }
         stall::note(context);
         let now = context.now();
-        if driver.look(Engine::wake).is_some_and(|wake| wake <= now) {
+        if driver.look(Engine::next_wakeup).is_some_and(|wake| wake <= now) {
             driver.with(context, |engine| engine.tick(now));
         }
     }
--- a/crates/daemon/src/notes.rs
+++ b/crates/daemon/src/notes.rs
@@ -7,7 +7,7 @@
 
 use dispatch::Ending;
 use dispatch::backend::BackendId;
-use dispatch::engine::{Chance, Note, Why};
+use dispatch::engine::{Basis, Candidate, Decision};
 
 use crate::Context;
 use crate::backends::attempt::Sending;
@@ -18,17 +18,17 @@
 const NAMED: usize = 8;
 
 /// Where a request goes and what that rests on; `waited` is the time since it came.
-pub fn sent(context: &Context, outgoing: &Outgoing, sending: Sending, waited: Duration, why: Why) {
+pub fn sent(context: &Context, outgoing: &Outgoing, sending: Sending, waited: Duration, basis: Basis) {
     let steering = context.steering();
     let target = steering.backends.get(&sending.backend);
     let (server, domain) = target.map_or(("gone", ""), |instance| (&instance.name, &instance.domain));
     let now = context.now();
-    let warm = warm(why);
+    let warm = warm(basis);
     log::info!(
         request = outgoing.id.as_str(), object = outgoing.object.as_str(), attempt = sending.attempt, server, domain,
-        again = sending.again, warm, own = why.own, load:% = format_args!("{:.2}", why.load),
-        pace:% = format_args!("{:.2}", why.pace),
-        told_ms:% = why.told.map_or(-1, |told| now.since(told).as_millis() as i64),
+        again = sending.again, warm, own = basis.own_in_flight, load:% = format_args!("{:.2}", basis.load),
+        pace:% = format_args!("{:.2}", basis.pace),
+        told_ms:% = basis.reported_at.map_or(-1, |told| now.since(told).as_millis() as i64),
         waited_ms:% = waited.as_millis(), left_ms:% = sending.deadline.since(now).as_millis();
         "dispatch: sent"
     );
@@ -48,56 +48,56 @@
 }
 
 /// Whether the server had handled the object lately, as a word; a dash for a request about none.
-pub fn warm(why: Why) -> &'static str {
-    why.warm.map_or("-", |warm| if warm { "yes" } else { "no" })
+pub fn warm(basis: Basis) -> &'static str {
+    basis.warm.map_or("-", |warm| if warm { "yes" } else { "no" })
 }
 
 /// Writes the line of a note; `id` is the name of the request that it is about, if it is about one.
-pub fn write(context: &Context, note: &Note, id: &str) {
+pub fn write(context: &Context, note: &Decision, id: &str) {
     let now = context.now();
     let steering = context.steering();
     let name = |backend: &BackendId| steering.backends.get(backend).map_or("gone", |known| known.name.as_str());
     match note {
-        Note::Held { waiting, chances, .. } => {
-            let (near, far) = (chance(&steering, chances[0]), chance(&steering, chances[1]));
+        Decision::Held { waiting, candidates, .. } => {
+            let (near, far) = (candidate(&steering, candidates[0]), candidate(&steering, candidates[1]));
             log::info!(request = id, waiting, near, far; "dispatch: held");
         }
-        Note::Refused { kind, tries, waited, waiting, chances, .. } => {
-            let (near, far) = (chance(&steering, chances[0]), chance(&steering, chances[1]));
+        Decision::Refused { kind, attempts, waited, waiting, candidates, .. } => {
+            let (near, far) = (candidate(&steering, candidates[0]), candidate(&steering, candidates[1]));
             log::info!(
-                request = id, kind:% = kind.as_str(), tries, waited_ms:% = waited.as_millis(), waiting, near, far;
+                request = id, kind:% = kind.as_str(), tries = attempts, waited_ms:% = waited.as_millis(), waiting, near, far;
                 "dispatch: refused"
             );
         }
-        Note::Ejected { backend, until, in_flight } => {
+        Decision::Ejected { backend, until, in_flight } => {
             context.metrics.ejections.inc();
             log::info!(
                 server = name(backend), for_ms:% = until.since(now).as_millis(), own = in_flight;
                 "dispatch: server ejected"
             );
         }
-        Note::Trusted { backend } => log::info!(server = name(backend); "dispatch: server trusted again"),
-        Note::Leaving { backend } => {
+        Decision::Reinstated { backend } => log::info!(server = name(backend); "dispatch: server trusted again"),
+        Decision::Leaving { backend } => {
             context.metrics.leavings.inc();
             log::info!(server = name(backend); "dispatch: server says it leaves");
         }
-        Note::Paused { backend, until } => {
+        Decision::Paused { backend, until } => {
             context.metrics.pauses.inc();
             log::info!(server = name(backend), for_ms:% = until.since(now).as_millis(); "dispatch: server wants nothing");
         }
-        Note::Poisonous { fingerprint } => {
+        Decision::Quarantined { fingerprint } => {
             log::warn!(fingerprint:% = format_args!("{fingerprint:016x}"); "dispatch: requests poisonous");
         }
     }
 }
 
 /// A server that was considered, as `name/load/pace/ms to the answer`; a dash for none.
-fn chance(steering: &Steering, chance: Option<Chance>) -> String {
-    let Some(Chance { backend, load, pace, finish }) = chance else {
+fn candidate(steering: &Steering, candidate: Option<Candidate>) -> String {
+    let Some(Candidate { backend, load, pace, expected_latency }) = candidate else {
         return "-".to_owned();
     };
     let name = steering.backends.get(&backend).map_or("gone", |known| known.name.as_str());
-    format!("{name}/{load:.1}/{pace:.1}/{}", finish.as_millis())
+    format!("{name}/{load:.1}/{pace:.1}/{}", expected_latency.as_millis())
 }
 
 /// What a new view of the world changes: backend servers that came, went or leave, and how entry instances stand.
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -192,10 +192,10 @@
             in_flight: server.in_flight,
             limit: server.limit(),
             load: server.load(now),
-            ratio: server.ratio(),
+            ratio: server.latency_ratio(),
             leaving: server.leaving(),
             suspect: server.suspect(),
-            closed: server.closed(now),
+            closed: server.unavailable(now),
             hosts_waiting_work: server.spec.hosts,
         };
         engine.backends().map(backend).collect()
@@ -213,9 +213,9 @@
         shares: (0..regions).map(row).collect(),
         grant_share: lock(&context.keeper).share(now),
         backends,
-        open: context.driver.look(dispatch::Engine::open),
+        open: context.driver.look(dispatch::Engine::open_requests),
         queued: context.driver.look(dispatch::Engine::queued),
-        poisonous: context.driver.look(|engine| engine.poisonous(now)),
+        poisonous: context.driver.look(|engine| engine.quarantined(now)),
         drains: in_force.policy.drains.clone(),
         passed_over: passed_over(context),
     }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -36,8 +36,9 @@
 pub fn spread_losses(context: &Context, losses: &[(u64, u64)]) -> bool {
     let now = context.now();
     let fingerprints = losses.iter().map(|(fingerprint, _)| *fingerprint);
-    let poison: Vec<(u64, u64)> =
-        context.driver.look(|engine| fingerprints.flat_map(|fingerprint| engine.poison(fingerprint, now)).collect());
+    let poison: Vec<(u64, u64)> = context
+        .driver
+        .look(|engine| fingerprints.flat_map(|fingerprint| engine.quarantine_losses(fingerprint, now)).collect());
     let mut roster = lock(&context.roster);
     losses.iter().for_each(|loss| roster.losses_mut().spread(*loss, now));
     poison.iter().for_each(|loss| roster.losses_mut().spread_lasting(*loss, now));
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -47,7 +47,7 @@
         let records = lock(&self.context.roster).records();
         let policy = lock(&self.context.holder).copy().cloned();
         let now = self.context.now();
-        let leaving = self.context.driver.look(|engine| engine.leaving(now).collect());
+        let leaving = self.context.driver.look(|engine| engine.leaving_backends(now).collect());
         let copy = lock(&self.context.mirror).revision() > 0;
         Ok(Snapshot { records, policy, leaving, copy })
     }
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -7,7 +7,7 @@
 use base::hash;
 use config::policy::{Class, Policy};
 use dispatch::class;
-use dispatch::split::Part;
+use dispatch::split::Share;
 use fleet::Copy;
 
 use crate::context::lock;
@@ -80,10 +80,10 @@
             rank: class.rank,
             target: Duration::from_millis(class.target_ms),
             may_wait: class.may_wait,
-            tries: if class.tries == 0 { usual.tries } else { class.tries as usize },
+            max_attempts: if class.tries == 0 { usual.max_attempts } else { class.tries as usize },
             affinity: class.affinity,
             regions: class.regions.iter().filter_map(|name| self.region(name)).collect(),
-            split: split.map(|(service, weight)| Part { service, weight }).collect(),
+            split: split.map(|(service, weight)| Share { service, weight }).collect(),
             ..usual
         }
     }
--- a/crates/daemon/src/stall.rs
+++ b/crates/daemon/src/stall.rs
@@ -45,13 +45,13 @@
     let Some(stood) = lock(&context.stall).beat(now) else { return };
     log::warn!("stall: the process stood still, nothing is sent until the store has answered ms={}", stood.as_millis());
     context.metrics.stalls.inc();
-    context.driver.with(context, |engine| engine.doubt(stood, now + DOUBT));
+    context.driver.with(context, |engine| engine.suspend(stood, now + DOUBT));
     let shared = Arc::clone(context);
     context.runtime.spawn(async move {
         let confirmed = tokio::time::timeout(DOUBT, confirm(&shared, now)).await.is_ok();
         view::refresh(&shared);
         let now = shared.now();
-        shared.driver.with(&shared, |engine| engine.trust(now));
+        shared.driver.with(&shared, |engine| engine.resume(now));
         log::info!("stall: goes on confirmed={confirmed}");
     });
 }
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -10,7 +10,7 @@
 use base::instance::{Instance, Role};
 use base::time::Time;
 use dispatch::backend::{BackendId, Spec};
-use dispatch::engine::{Extra, Remote};
+use dispatch::engine::{Budgets, Remote};
 use steer::grant;
 use steer::shift::{Controller, Shares};
 use steer::{Table, View};
@@ -106,9 +106,9 @@
     let steering = shift(context, in_force, now);
     context.pool.keep(|backend| steering.backends.contains_key(&backend), now);
     let remotes = remotes(context, &preparing.slots, in_force, now);
-    let extra = extra(context, lock(&context.roster).alive().count() + 1);
+    let budgets = budgets(context, lock(&context.roster).alive().count() + 1);
     context.driver.with(context, |engine| {
-        engine.set_extra(extra);
+        engine.set_budgets(budgets);
         for (region, remote) in remotes {
             engine.set_remote(region, remote, now);
         }
@@ -161,21 +161,21 @@
 
 /// Our part of the second sends that all daemons may cause together; twice as many daemons as are known may be
 /// there.
-fn extra(context: &Context, daemons: usize) -> Extra {
+fn budgets(context: &Context, daemons: usize) -> Budgets {
     let settings = &context.settings.dispatch;
     let daemons = 2.0 * daemons as f64;
-    Extra {
-        retry_part: settings.retry_part,
-        repeat_part: settings.repeat_part * REPEATS_USED,
-        repeats_saved: settings.repeats_saved / daemons,
-        ..Extra::DEFAULT
+    Budgets {
+        retry_ratio: settings.retry_part,
+        repeat_ratio: settings.repeat_part * REPEATS_USED,
+        repeat_burst: settings.repeats_saved / daemons,
+        ..Budgets::DEFAULT
     }
 }
 
 /// What we may use of other regions: our part of a part that is split between all regions that might.
 fn remotes(context: &Context, slots: &BTreeMap<String, u32>, in_force: &InForce, now: Time) -> Vec<(u16, Remote)> {
     if context.settings.dispatch.open_links {
-        return (0..in_force.regions.len() as u16).map(|region| (region, Remote::OPEN)).collect();
+        return (0..in_force.regions.len() as u16).map(|region| (region, Remote::UNLIMITED)).collect();
     }
     let share = lock(&context.keeper).share(now);
     let own = &context.settings.region;
@@ -184,7 +184,7 @@
         let slots = slots.get(name).copied().unwrap_or(0);
         let cap = in_force.policy.link_cap(own, name).unwrap_or(0.0);
         let allowed = grant::allowance(slots, sources, cap, share);
-        Remote { limit: allowed.requests, bytes_per_second: allowed.bytes_per_second }
+        Remote { max_in_flight: allowed.requests, bytes_per_second: allowed.bytes_per_second }
     };
     let others = in_force.regions.iter().enumerate().filter(|(_, name)| *name != own);
     others.map(|(position, name)| (position as u16, remote(name))).collect()
--- a/crates/daemon/src/view/servers.rs
+++ b/crates/daemon/src/view/servers.rs
@@ -5,7 +5,7 @@
 
 use base::hash;
 use base::instance::{Instance, Role, State as Listed};
-use dispatch::backend::{BackendId, Place, Spec, Start};
+use dispatch::backend::{BackendId, Place, SlowStart, Spec};
 use dispatch::subset;
 use fleet::roster::Roster;
 
@@ -72,7 +72,7 @@
             return *known;
         }
         let used = subset::uses(self.own, &self.region, u64::from(id), USERS_PER_BACKEND);
-        let (part, starter) = subset::start_part(self.own, &self.all, u64::from(id), self.starters, self.settled);
+        let (part, starter) = subset::start_share(self.own, &self.all, u64::from(id), self.starters, self.settled);
         let dealt = Dealt { used, part, starter };
         self.dealt.insert(id, dealt);
         dealt
@@ -97,18 +97,18 @@
                 leaving: drained || instance.state == Listed::Leaving,
                 hosts: hosted.get(&u64::from(item.id)).copied().unwrap_or(false),
                 region,
-                start: self.start(item, in_force),
+                slow_start: self.start(item, in_force),
             })
         };
         used.iter().filter_map(spec).collect()
     }
 
-    fn start(&mut self, item: &Item, in_force: &InForce) -> Option<Start> {
+    fn start(&mut self, item: &Item, in_force: &InForce) -> Option<SlowStart> {
         let service = in_force.policy.services.get(&item.instance.service)?;
         let Dealt { part, starter, .. } = self.dealt(item.id);
         let per_second = service.start_per_second * part;
         let phase = hash::unit(hash::pair(self.own, item.id.into()));
-        (service.start_per_second > 0.0).then_some(Start { until: item.starts, per_second, starter, phase })
+        (service.start_per_second > 0.0).then_some(SlowStart { until: item.starts, per_second, starter, phase })
     }
 }
 
--- a/crates/daemon/tests/view.rs
+++ b/crates/daemon/tests/view.rs
@@ -96,13 +96,13 @@
 /// Sends a request and ends what it starts; says whether anything was started.
 fn send(engine: &mut Engine, request: u64, class: usize, now: Time) -> bool {
     engine.submit(Arrival::new(request, class, request, 10), now);
-    let started = engine.take().into_iter().find_map(|action| match action {
+    let started = engine.take_actions().into_iter().find_map(|action| match action {
         Action::Start { attempt, .. } => Some(attempt),
         _ => None,
     });
     started.into_iter().for_each(|attempt| engine.finish(attempt, Ending::Answered(1), now));
     engine.abandon(request, now);
-    engine.take();
+    engine.take_actions();
     started.is_some()
 }
 
--- a/crates/dispatch/src/words.rs
+++ b/crates/dispatch/src/announcements.rs
@@ -17,14 +17,14 @@
 
 /// What one server said last.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Word {
+pub struct Announcement {
     /// Until when it counts as leaving; zero if it did not say so.
     leaves: Time,
     /// Until when it wants nothing.
     paused: Time,
 }
 
-impl Word {
+impl Announcement {
     /// Whether it leaves.
     pub fn leaves(&self, now: Time) -> bool {
         now < self.leaves
@@ -43,16 +43,16 @@
 
 /// What servers said, by number.
 #[derive(Debug, Clone, Default)]
-pub struct Words(BTreeMap<BackendId, Word>);
+pub struct Announcements(BTreeMap<BackendId, Announcement>);
 
-impl Words {
+impl Announcements {
     /// Nothing was said.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// What `server` said.
-    pub fn get(&self, server: BackendId) -> Word {
+    pub fn get(&self, server: BackendId) -> Announcement {
         self.0.get(&server).copied().unwrap_or_default()
     }
 
@@ -75,7 +75,7 @@
         self.0.iter().filter(move |(_, word)| word.leaves(now)).map(|(server, _)| *server)
     }
 
-    fn entry(&mut self, server: BackendId, now: Time) -> &mut Word {
+    fn entry(&mut self, server: BackendId, now: Time) -> &mut Announcement {
         if self.0.len() >= MOST && !self.0.contains_key(&server) {
             self.0.retain(|_, word| now < word.end());
             let first = self.0.iter().min_by_key(|(_, word)| word.end()).map(|(server, _)| *server);
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -7,9 +7,9 @@
 use base::rate::Bucket;
 use base::time::Time;
 
-use crate::words::Word;
+use crate::announcements::Announcement;
 
-pub use self::spec::{BackendId, Place, Report, Spec, Start};
+pub use self::spec::{BackendId, Place, Report, SlowStart, Spec};
 
 /// Late answers in a row after which a server is ejected.
 const LATE_IN_ROW: u32 = 2;
@@ -53,7 +53,7 @@
 
 /// Requests a second and at once that this daemon may send the server while it starts.
 fn pressure(spec: &Spec) -> (f64, f64) {
-    let per_second = spec.start.map_or(0.0, |start| start.per_second);
+    let per_second = spec.slow_start.map_or(0.0, |start| start.per_second);
     (per_second, if per_second > 0.0 { COLD_BURST } else { 0.0 })
 }
 
@@ -86,7 +86,7 @@
     /// Whether it was ejected last because its answers were late; it could be reached.
     slow: bool,
     /// What the server said of itself.
-    word: Word,
+    word: Announcement,
     /// Whether it said that it leaves.
     left: bool,
     /// Whether it takes work again after a pause, little by little.
@@ -129,7 +129,7 @@
             closed_until: Time::ZERO,
             trial: false,
             slow: false,
-            word: Word::default(),
+            word: Announcement::default(),
             left: false,
             resuming: false,
             answered: 0,
@@ -191,12 +191,12 @@
 
     /// Whether a server that starts, or may have started anew, can be sent a request now.
     pub fn admits(&self, now: Time) -> bool {
-        let left_to_others = self.spec.start.is_some_and(|start| now < start.until && !start.starter);
+        let left_to_others = self.spec.slow_start.is_some_and(|start| now < start.until && !start.starter);
         !left_to_others && (!self.starts(now) || self.gate.clone().level(now) >= 1.0)
     }
 
     fn starts(&self, now: Time) -> bool {
-        self.spec.start.is_some_and(|start| now < start.until || self.trial)
+        self.spec.slow_start.is_some_and(|start| now < start.until || self.trial)
     }
 
     /// One of our attempts starts there.
@@ -225,7 +225,7 @@
     }
 
     /// Takes in what the server says of itself.
-    pub fn hear(&mut self, word: Word, now: Time) {
+    pub fn hear(&mut self, word: Announcement, now: Time) {
         if word.paused() > self.word.paused() && word.paused() > now {
             self.resuming = true;
             self.answered = 0;
@@ -240,7 +240,7 @@
     }
 
     /// Whether it takes no work at `now` because of what we saw or it said.
-    pub fn closed(&self, now: Time) -> bool {
+    pub fn unavailable(&self, now: Time) -> bool {
         self.ejected(now) || self.paused(now)
     }
 
@@ -317,7 +317,7 @@
     }
 
     /// How long work takes there, relative to what is typical.
-    pub fn ratio(&self) -> f64 {
+    pub fn latency_ratio(&self) -> f64 {
         self.ratio.max(1.0) + f64::from(self.late)
     }
 
@@ -343,7 +343,7 @@
     }
 
     /// An attempt is late now, while it still runs. A server that cannot be done without is not ejected for it.
-    pub fn note_late(&mut self, may_eject: bool, keyed: bool, now: Time) {
+    pub fn record_late(&mut self, may_eject: bool, keyed: bool, now: Time) {
         self.late += 1;
         self.late_in_row += 1;
         let most = if keyed { SILENT_IN_ROW } else { LATE_IN_ROW };
@@ -365,8 +365,8 @@
     }
 
     /// An attempt ended by its deadline before it was noted as late.
-    pub fn note_late_ended(&mut self, may_eject: bool, keyed: bool, now: Time) {
-        self.note_late(may_eject, keyed, now);
+    pub fn record_late_end(&mut self, may_eject: bool, keyed: bool, now: Time) {
+        self.record_late(may_eject, keyed, now);
         self.late -= 1;
     }
 
@@ -401,7 +401,7 @@
         let time = EJECTION.saturating_mul(1 << self.ejections.min(5)).min(LONGEST_EJECTION);
         self.ejections += 1;
         self.trial = true;
-        if let Some(start) = self.spec.start.filter(|start| !start.starter) {
+        if let Some(start) = self.spec.slow_start.filter(|start| !start.starter) {
             // All daemons may eject it at once: their tries are spread over the time in which it bears them.
             let level = self.gate.level(now);
             self.gate.charge(level + start.phase, now);
--- a/crates/dispatch/src/backend/spec.rs
+++ b/crates/dispatch/src/backend/spec.rs
@@ -34,12 +34,12 @@
     /// Its region, by position.
     pub region: u16,
     /// How it starts, if it must not get its full work at once.
-    pub start: Option<Start>,
+    pub slow_start: Option<SlowStart>,
 }
 
 /// A slow start.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Start {
+pub struct SlowStart {
     /// Until when the server starts.
     pub until: Time,
     /// Requests a second that this daemon may send meanwhile if it is a starter, and to try the server whenever it
--- a/crates/dispatch/src/class.rs
+++ b/crates/dispatch/src/class.rs
@@ -6,8 +6,8 @@
 use base::time::Time;
 
 use crate::samples::Samples;
-use crate::split::{Part, Split};
-use crate::work::Work;
+use crate::split::{Share, Split};
+use crate::work_time::Estimate;
 
 /// Typical latency before anything was seen.
 const FIRST_TYPICAL: Duration = Duration::from_millis(50);
@@ -42,13 +42,13 @@
     /// Whether the work may wait but must finish.
     pub may_wait: bool,
     /// Servers that one request is sent to at most, hedges included.
-    pub tries: usize,
+    pub max_attempts: usize,
     /// Whether servers work faster on an object that they handled lately.
     pub affinity: bool,
     /// Regions that may run the work, by position; empty for all.
     pub regions: Vec<u16>,
     /// Services that share the work in place of `service`; empty for none.
-    pub split: Vec<Part>,
+    pub split: Vec<Share>,
 }
 
 impl Spec {
@@ -62,7 +62,7 @@
             target: deadline,
             deadline,
             may_wait: false,
-            tries: TRIES,
+            max_attempts: TRIES,
             affinity: false,
             regions: Vec::new(),
             split: Vec::new(),
@@ -86,7 +86,7 @@
     pub in_flight: u32,
     latencies: Samples,
     /// Times of work on objects.
-    pub work: Work,
+    pub work: Estimate,
     split: Split,
     size: f64,
     /// Whether an answer was seen.
@@ -100,7 +100,7 @@
             queue: VecDeque::new(),
             in_flight: 0,
             latencies: Samples::new(FIRST_TYPICAL),
-            work: Work::new(spec.target.mul_f64(FIRST_WARM)),
+            work: Estimate::new(spec.target.mul_f64(FIRST_WARM)),
             split: Split::new(&spec.split),
             spec,
             size: FIRST_SIZE,
--- a/crates/dispatch/src/engine/answer.rs
+++ b/crates/dispatch/src/engine/answer.rs
@@ -6,16 +6,16 @@
 use base::time::Time;
 
 use super::state::{Request, Timer};
-use super::{Action, Engine, Note, Verdict};
+use super::{Action, Decision, Engine, Verdict};
 
 impl Engine {
     pub(super) fn answer(&mut self, request: u64, verdict: Verdict) {
-        self.actions.push(Action::Answer { request, verdict, after: None });
+        self.actions.push(Action::Answer { request, verdict, retry_after: None });
     }
 
     /// Answers with an error; its caller should come back `after`, if not after the usual time.
     pub(super) fn reject(&mut self, request: u64, kind: Kind, after: Option<Duration>) {
-        self.actions.push(Action::Answer { request, verdict: Verdict::Refuse(kind), after });
+        self.actions.push(Action::Answer { request, verdict: Verdict::Refuse(kind), retry_after: after });
     }
 
     /// Takes a request out of all books but its attempts'.
@@ -38,8 +38,8 @@
             _ => kind,
         };
         let (tries, waited, waiting) = (state.tries, now.since(state.arrived), self.queued());
-        let chances = self.chances(&state, now);
-        self.notes.push(Note::Refused { request, kind, tries, waited, waiting, chances });
+        let candidates = self.candidates(&state, now);
+        self.notes.push(Decision::Refused { request, kind, attempts: tries, waited, waiting, candidates });
         let pause_end = (kind == Kind::Paused).then(|| self.pause_end(&state)).flatten();
         let after = self.return_after(kind, state.shed_with_room, pause_end, now);
         self.reject(request, kind, after);
--- a/crates/dispatch/src/engine/note.rs
+++ b/crates/dispatch/src/engine/decision.rs
@@ -10,7 +10,7 @@
 
 /// A server that was considered for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Chance {
+pub struct Candidate {
     /// The server.
     pub backend: BackendId,
     /// All work there, as far as known.
@@ -18,12 +18,12 @@
     /// How long work takes there, as a multiple of the usual.
     pub pace: f64,
     /// Time to the answer if the request were sent there now.
-    pub finish: Duration,
+    pub expected_latency: Duration,
 }
 
 /// What was decided or is believed from now on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum Decision {
     /// A request waits for a server.
     Held {
         /// The request.
@@ -31,7 +31,7 @@
         /// Requests of all classes that wait.
         waiting: usize,
         /// The servers of its object, near and elsewhere.
-        chances: [Option<Chance>; 2],
+        candidates: [Option<Candidate>; 2],
     },
     /// A request is refused or failed.
     Refused {
@@ -40,13 +40,13 @@
         /// Why.
         kind: Kind,
         /// Attempts before.
-        tries: usize,
+        attempts: usize,
         /// Time since it came.
         waited: Duration,
         /// Requests of all classes that wait.
         waiting: usize,
         /// The servers of its object, near and elsewhere.
-        chances: [Option<Chance>; 2],
+        candidates: [Option<Candidate>; 2],
     },
     /// A server gets no work for a while, then one request to prove itself.
     Ejected {
@@ -58,7 +58,7 @@
         in_flight: u32,
     },
     /// An ejected server has proved itself.
-    Trusted {
+    Reinstated {
         /// The server.
         backend: BackendId,
     },
@@ -75,7 +75,7 @@
         until: Time,
     },
     /// Requests with this fingerprint are refused: servers went away while they ran them.
-    Poisonous {
+    Quarantined {
         /// The fingerprint.
         fingerprint: u64,
     },
@@ -83,7 +83,7 @@
 
 impl Engine {
     /// Takes the notes made since the last call.
-    pub fn take_notes(&mut self) -> Vec<Note> {
+    pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.notes)
     }
 
@@ -96,24 +96,24 @@
         work(server);
         if server.suspect() && server.closed_until() > until {
             let (until, in_flight) = (server.closed_until(), server.in_flight);
-            self.notes.push(Note::Ejected { backend, until, in_flight });
+            self.notes.push(Decision::Ejected { backend, until, in_flight });
         } else if suspect && !server.suspect() {
-            self.notes.push(Note::Trusted { backend });
+            self.notes.push(Decision::Reinstated { backend });
         }
     }
 
     /// Notes that a request waits for a server.
     pub(super) fn note_held(&mut self, request: u64, now: Time) {
-        let chances = self.requests.get(&request).map(|state| self.chances(state, now)).unwrap_or_default();
-        self.notes.push(Note::Held { request, waiting: self.queued(), chances });
+        let candidates = self.requests.get(&request).map(|state| self.candidates(state, now)).unwrap_or_default();
+        self.notes.push(Decision::Held { request, waiting: self.queued(), candidates });
     }
 
     /// Takes in a loss of a connection; says whether it is news.
     pub(super) fn note_poison(&mut self, fingerprint: u64, loss: u64, now: Time) -> bool {
-        let before = self.poison.refuses(fingerprint, now);
-        let news = self.poison.note(fingerprint, loss, now);
-        if !before && self.poison.refuses(fingerprint, now) {
-            self.notes.push(Note::Poisonous { fingerprint });
+        let before = self.quarantine.refuses(fingerprint, now);
+        let news = self.quarantine.note(fingerprint, loss, now);
+        if !before && self.quarantine.refuses(fingerprint, now) {
+            self.notes.push(Decision::Quarantined { fingerprint });
         }
         news
     }
--- a/crates/dispatch/src/engine/ending.rs
+++ b/crates/dispatch/src/engine/ending.rs
@@ -67,7 +67,7 @@
             Ending::Unreachable => backend.failed(now),
             Ending::Lost | Ending::Cut => backend.lost(now),
             Ending::Timeout if !ended.late && latency >= enough => {
-                backend.note_late_ended(may_eject, ended.warm.is_some(), now);
+                backend.record_late_end(may_eject, ended.warm.is_some(), now);
             }
             Ending::Timeout | Ending::TooLarge | Ending::Withheld(_) | Ending::Recalled | Ending::Cancelled => {}
         }
@@ -91,7 +91,7 @@
         match ending {
             Ending::Answered(_) => {
                 let fingerprint = state.fingerprint;
-                self.poison.clear(fingerprint, now);
+                self.quarantine.clear(fingerprint, now);
                 let rest = self.close(request).map(|state| state.live).unwrap_or_default();
                 self.cancel_all(&rest);
                 self.answer(request, Verdict::Relay(attempt));
@@ -123,8 +123,8 @@
         }
         let idempotent = self.classes[state.class].spec.idempotent;
         let safe = idempotent || state.touched.is_none();
-        let tries_left = state.tries < self.classes[state.class].spec.tries;
-        let poisoned = self.poison.refuses(state.fingerprint, now);
+        let tries_left = state.tries < self.classes[state.class].spec.max_attempts;
+        let poisoned = self.quarantine.refuses(state.fingerprint, now);
         let late = now >= state.deadline;
         let service = state.service;
         if !safe || !tries_left || poisoned || late || !(self.retries.spend() && self.repeats(service).spend()) {
--- a/crates/dispatch/src/engine/event.rs
+++ b/crates/dispatch/src/engine/event.rs
@@ -73,9 +73,9 @@
         /// When its answer is of no use.
         deadline: Time,
         /// Whether the request was sent before; it then gets a fresh connection.
-        again: bool,
+        retry: bool,
         /// What the choice rests on.
-        why: Why,
+        basis: Basis,
     },
     /// Cancel an attempt; it still has to be finished.
     Cancel {
@@ -91,23 +91,23 @@
         /// The answer.
         verdict: Verdict,
         /// When the caller should come back, if not after the usual time.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
 }
 
 /// What the choice of a server rests on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Why {
+pub struct Basis {
     /// Whether the server had handled the request's object lately; `None` for a request about none.
     pub warm: Option<bool>,
     /// Our requests in flight there, this one not counted.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// All work there, as far as known.
     pub load: f64,
     /// How long work takes there, as a multiple of the usual.
     pub pace: f64,
     /// When the server last told its load.
-    pub told: Option<Time>,
+    pub reported_at: Option<Time>,
 }
 
 /// A request as it arrives.
@@ -122,7 +122,7 @@
     /// Size of the request, in bytes.
     pub bytes: u64,
     /// How long its caller waits, if it says so.
-    pub limit: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The object that it is about, hashed.
     pub object: Option<u64>,
 }
@@ -130,7 +130,7 @@
 impl Arrival {
     /// A request of `class` whose caller says nothing of how long it waits.
     pub const fn new(request: u64, class: usize, fingerprint: u64, bytes: u64) -> Self {
-        Self { request, class, fingerprint, bytes, limit: None, object: None }
+        Self { request, class, fingerprint, bytes, timeout: None, object: None }
     }
 }
 
@@ -138,18 +138,18 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Remote {
     /// Requests in flight there at most.
-    pub limit: u32,
+    pub max_in_flight: u32,
     /// Bytes a second over the link, in the busier direction.
     pub bytes_per_second: f64,
 }
 
 impl Remote {
     /// All of a region, over a link that no cap is declared for.
-    pub const OPEN: Self = Self { limit: u32::MAX, bytes_per_second: u32::MAX as f64 };
+    pub const UNLIMITED: Self = Self { max_in_flight: u32::MAX, bytes_per_second: u32::MAX as f64 };
 
     /// Whether no cap is declared for the link.
-    pub fn open(&self) -> bool {
-        self.bytes_per_second >= Self::OPEN.bytes_per_second
+    pub fn is_uncapped(&self) -> bool {
+        self.bytes_per_second >= Self::UNLIMITED.bytes_per_second
     }
 }
 
@@ -157,40 +157,40 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
     /// Requests that wait at most.
-    pub queued: usize,
+    pub max_queued: usize,
     /// Attempts in flight at most.
-    pub in_flight: usize,
+    pub max_in_flight: usize,
     /// How long a request that crashed servers is refused.
-    pub poison: Duration,
+    pub quarantine: Duration,
     /// Extra work that may be caused.
-    pub extra: Extra,
+    pub budgets: Budgets,
 }
 
 /// Extra work that may be caused.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Extra {
+pub struct Budgets {
     /// Part of a hedge that each request earns.
-    pub hedge_part: f64,
+    pub hedge_ratio: f64,
     /// Hedges that can be saved up.
-    pub hedges_saved: f64,
+    pub hedge_burst: f64,
     /// Part of a retry that each request earns.
-    pub retry_part: f64,
+    pub retry_ratio: f64,
     /// Retries that can be saved up.
-    pub retries_saved: f64,
+    pub retry_burst: f64,
     /// Part of a hedge or retry of one service that each request for it earns.
-    pub repeat_part: f64,
+    pub repeat_ratio: f64,
     /// Hedges and retries of one service that can be saved up.
-    pub repeats_saved: f64,
+    pub repeat_burst: f64,
 }
 
-impl Extra {
+impl Budgets {
     /// What one daemon may cause where nothing else is set.
     pub const DEFAULT: Self = Self {
-        hedge_part: 0.03,
-        hedges_saved: 5.0,
-        retry_part: 0.1,
-        retries_saved: 10.0,
-        repeat_part: 1.0,
-        repeats_saved: 100.0,
+        hedge_ratio: 0.03,
+        hedge_burst: 5.0,
+        retry_ratio: 0.1,
+        retry_burst: 10.0,
+        repeat_ratio: 1.0,
+        repeat_burst: 100.0,
     };
 }
--- a/crates/dispatch/src/engine/keyed.rs
+++ b/crates/dispatch/src/engine/keyed.rs
@@ -13,7 +13,7 @@
 use base::hash;
 use base::time::Time;
 
-use super::{Chance, Engine, Request};
+use super::{Candidate, Engine, Request};
 use crate::backend::{Backend, BackendId, Place};
 
 /// How likely other daemons have made an object warm at the home where it lives, before we have seen it.
@@ -74,7 +74,7 @@
     }
 
     /// What the two servers of a request's object could do for it now, for logs.
-    pub(super) fn chances(&self, state: &Request, now: Time) -> [Option<Chance>; 2] {
+    pub(super) fn candidates(&self, state: &Request, now: Time) -> [Option<Candidate>; 2] {
         let Some(object) = state.object else {
             return [None, None];
         };
@@ -83,7 +83,12 @@
             let server = self.backends.get(&home.id)?;
             let warm = if self.warmth.has(home.id, object) { 1.0 } else { home.warm };
             let finish = self.time_to_answer(server, state, warm, now);
-            Some(Chance { backend: home.id, load: server.load(now), pace: server.pace(now), finish })
+            Some(Candidate {
+                backend: home.id,
+                load: server.load(now),
+                pace: server.pace(now),
+                expected_latency: finish,
+            })
         })
     }
 
@@ -109,7 +114,7 @@
         let up = |id: &BackendId| {
             let server = self.backends.get(id);
             server.is_some_and(|server| {
-                let open = !server.leaving() && !server.closed(now) && !state.barred.contains(id);
+                let open = !server.leaving() && !server.unavailable(now) && !state.barred.contains(id);
                 open && class.allows(server.spec.region)
             })
         };
--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -1,10 +1,10 @@
 //! The state machine of dispatch.
 
 mod answer;
+mod decision;
 mod ending;
 mod event;
 mod keyed;
-mod note;
 mod pick;
 #[cfg(feature = "policies")]
 pub mod policy;
@@ -18,15 +18,15 @@
 
 use base::time::Time;
 
-pub use self::event::{Action, Arrival, Ending, Extra, Limits, Remote, Verdict, Why};
-pub use self::note::{Chance, Note};
+pub use self::decision::{Candidate, Decision};
+pub use self::event::{Action, Arrival, Basis, Budgets, Ending, Limits, Remote, Verdict};
 use self::state::{Attempt, Channel, Request, Timer};
+use crate::announcements::Announcements;
 use crate::backend::{Backend, BackendId};
 use crate::budget::Budget;
 use crate::class::{self, Class};
-use crate::poison::Poison;
+use crate::quarantine::Quarantine;
 use crate::warmth::Warmth;
-use crate::words::Words;
 
 /// Time after which waiting requests are looked at again.
 const LOOK_AGAIN: Duration = Duration::from_millis(2);
@@ -58,7 +58,7 @@
     /// Hedges and retries together, by service.
     repeats: BTreeMap<u16, Budget>,
     warmth: Warmth,
-    words: Words,
+    words: Announcements,
     /// Until when what is believed of servers is not acted on.
     doubted_until: Time,
     /// When the last pause ends that a server asked for.
@@ -67,12 +67,12 @@
     near_parts: Vec<f64>,
     /// When the loads of servers that told none were last guessed, by service.
     guessed: BTreeMap<u16, Time>,
-    poison: Poison,
+    quarantine: Quarantine,
     losses: Vec<(u64, u64)>,
     salt: u64,
     rng: fastrand::Rng,
     actions: Vec<Action>,
-    notes: Vec<Note>,
+    notes: Vec<Decision>,
     stopping: bool,
     #[cfg(feature = "policies")]
     policy: policy::Policy,
@@ -96,16 +96,16 @@
             next_attempt: 0,
             choices: 0,
             queued: 0,
-            hedges: Budget::new(limits.extra.hedge_part, limits.extra.hedges_saved),
-            retries: Budget::new(limits.extra.retry_part, limits.extra.retries_saved),
+            hedges: Budget::new(limits.budgets.hedge_ratio, limits.budgets.hedge_burst),
+            retries: Budget::new(limits.budgets.retry_ratio, limits.budgets.retry_burst),
             repeats: BTreeMap::new(),
             warmth: Warmth::new(),
-            words: Words::new(),
+            words: Announcements::new(),
             doubted_until: Time::ZERO,
             pauses_end: Time::ZERO,
             near_parts: Vec::new(),
             guessed: BTreeMap::new(),
-            poison: Poison::new(limits.poison),
+            quarantine: Quarantine::new(limits.quarantine),
             losses: Vec::new(),
             salt: seed,
             rng: fastrand::Rng::with_seed(seed),
@@ -125,12 +125,12 @@
     }
 
     /// Requests that are refused because they crash servers, by fingerprint.
-    pub fn poisonous(&self, now: Time) -> usize {
-        self.poison.refused(now)
+    pub fn quarantined(&self, now: Time) -> usize {
+        self.quarantine.refused(now)
     }
 
     /// Requests here.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -156,15 +156,21 @@
 
     /// A new request; its answer comes as an action.
     pub fn submit(&mut self, arrival: Arrival, now: Time) {
-        let Arrival { request, class, fingerprint, bytes, limit, object } = arrival;
+        let Arrival { request, class, fingerprint, bytes, timeout, object } = arrival;
         let service = self.classes[class].next_service();
         self.hedges.earn();
         self.retries.earn();
         self.repeats(service).earn();
         if let Some(kind) = self.refusal(class, fingerprint, now) {
             let waiting = self.queued();
-            let note =
-                Note::Refused { request, kind, tries: 0, waited: Duration::ZERO, waiting, chances: [None, None] };
+            let note = Decision::Refused {
+                request,
+                kind,
+                attempts: 0,
+                waited: Duration::ZERO,
+                waiting,
+                candidates: [None, None],
+            };
             self.notes.push(note);
             let after = self.return_after(kind, false, None, now);
             return self.reject(request, kind, after);
@@ -175,7 +181,7 @@
             self.guess_loads(service, now);
         }
         let spec = &self.classes[class].spec;
-        let deadline = now + limit.map_or(spec.deadline, |limit| limit.min(spec.deadline));
+        let deadline = now + timeout.map_or(spec.deadline, |timeout| timeout.min(spec.deadline));
         let state = Request {
             class,
             service,
@@ -252,18 +258,18 @@
     }
 
     /// When `tick` has something to do next.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_wakeup(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
 
     /// Takes the actions decided since the last call; notes that were not taken before are dropped.
-    pub fn take(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         self.notes.clear();
         std::mem::take(&mut self.actions)
     }
 
     fn repeats(&mut self, service: u16) -> &mut Budget {
-        let extra = self.limits.extra;
-        self.repeats.entry(service).or_insert_with(|| Budget::new(extra.repeat_part, extra.repeats_saved))
+        let budgets = self.limits.budgets;
+        self.repeats.entry(service).or_insert_with(|| Budget::new(budgets.repeat_ratio, budgets.repeat_burst))
     }
 }
--- a/crates/dispatch/src/engine/pick.rs
+++ b/crates/dispatch/src/engine/pick.rs
@@ -6,7 +6,7 @@
 use base::time::Time;
 
 use super::state::Reserve;
-use super::{Action, Attempt, Engine, Request, Timer, Why};
+use super::{Action, Attempt, Basis, Engine, Request, Timer};
 use crate::backend::{Backend, BackendId, Place};
 
 /// Time's worth of a link's rate that may pass in one burst.
@@ -51,7 +51,7 @@
         }
         let service = usize::from(state.service);
         let near = self.pick_tier(service, 0, &state, now);
-        let slow = near.and_then(|id| self.backends.get(&id)).is_some_and(|server| server.ratio() >= SLOW);
+        let slow = near.and_then(|id| self.backends.get(&id)).is_some_and(|server| server.latency_ratio() >= SLOW);
         let away = if near.is_some() { slow } else { self.remote_allowed(service, &state, now) };
         if !away || (slow && self.classes[state.class].spec.may_wait) {
             return near;
@@ -62,7 +62,7 @@
 
     /// Whether work at `far` has been quicker than at `near` by enough, the way there included.
     fn worth(&self, far: Option<BackendId>, near: Option<BackendId>) -> bool {
-        let ratio = |id: Option<BackendId>| id.and_then(|id| self.backends.get(&id)).map(Backend::ratio);
+        let ratio = |id: Option<BackendId>| id.and_then(|id| self.backends.get(&id)).map(Backend::latency_ratio);
         matches!((ratio(far), ratio(near)), (Some(far), Some(near)) if far * WORTH < near)
     }
 
@@ -108,9 +108,9 @@
         state.live.push(attempt);
         state.tries += 1;
         state.barred.push(backend);
-        let again = state.tries > 1;
-        let why = Why { warm, own, load, pace: speed, told };
-        self.actions.push(Action::Start { request, attempt, backend, deadline, again, why });
+        let retry = state.tries > 1;
+        let basis = Basis { warm, own_in_flight: own, load, pace: speed, reported_at: told };
+        self.actions.push(Action::Start { request, attempt, backend, deadline, retry, basis });
     }
 
     /// An attempt is late: the server is marked, and the request hedged if that is allowed.
@@ -121,7 +121,7 @@
         };
         live.late = true;
         let (request, class, backend, keyed) = (live.request, live.class, live.backend, live.warm.is_some());
-        self.judge(backend, |server| server.note_late(may_eject, keyed, now));
+        self.judge(backend, |server| server.record_late(may_eject, keyed, now));
         #[cfg(feature = "policies")]
         if self.policy != super::policy::Policy::Steered {
             return;
@@ -130,7 +130,7 @@
         let Some(state) = self.requests.get(&request) else {
             return;
         };
-        if state.tries >= spec.tries {
+        if state.tries >= spec.max_attempts {
             return;
         }
         if !spec.idempotent || spec.may_wait || state.hedged || state.live.len() != 1 || state.queued {
@@ -263,7 +263,7 @@
             return false;
         }
         let distance = if server.spec.place == Place::Region { DOMAIN_COST } else { 0.0 };
-        let score = (server.load(now) + 1.0) * server.ratio() + distance;
+        let score = (server.load(now) + 1.0) * server.latency_ratio() + distance;
         if best.is_none_or(|(lowest, _)| score < lowest) {
             *best = Some((score, id));
         }
@@ -271,7 +271,7 @@
     }
 
     fn usable(&self, server: &Backend, state: &Request, now: Time) -> bool {
-        if server.leaving() || server.closed(now) || server.in_flight >= server.limit() {
+        if server.leaving() || server.unavailable(now) || server.in_flight >= server.limit() {
             return false;
         }
         if state.barred.contains(&server.spec.id) || !server.admits(now) {
@@ -316,7 +316,7 @@
         };
         let healthy = |id: &BackendId| {
             let other = self.backends.get(id);
-            other.is_some_and(|other| !other.suspect() && !other.leaving() && !other.closed(now))
+            other.is_some_and(|other| !other.suspect() && !other.leaving() && !other.unavailable(now))
         };
         tiers.iter().flatten().any(healthy)
     }
@@ -328,7 +328,7 @@
         };
         let serves = |id: &BackendId| {
             let server = self.backends.get(id);
-            server.is_some_and(|server| !(server.leaving() || server.suspect() && server.closed(now)))
+            server.is_some_and(|server| !(server.leaving() || server.suspect() && server.unavailable(now)))
         };
         if !tiers[0].iter().any(serves) {
             return true;
--- a/crates/dispatch/src/engine/queue.rs
+++ b/crates/dispatch/src/engine/queue.rs
@@ -14,10 +14,10 @@
         if self.stopping {
             return Some(Kind::Leaving);
         }
-        if self.poison.refuses(fingerprint, now) {
+        if self.quarantine.refuses(fingerprint, now) {
             return Some(Kind::Poisoned);
         }
-        if self.queued >= self.limits.queued && !self.displace(class, now) {
+        if self.queued >= self.limits.max_queued && !self.displace(class, now) {
             return Some(Kind::QueueFull);
         }
         if self.expected_wait(class) > self.classes[class].spec.deadline {
@@ -81,7 +81,7 @@
 
     pub(super) fn pump_class(&mut self, class: usize, now: Time) {
         while let Some(request) = self.classes[class].queue.front().copied() {
-            if self.attempts.len() >= self.limits.in_flight {
+            if self.attempts.len() >= self.limits.max_in_flight {
                 return;
             }
             if self.hopeless(request, now) {
--- a/crates/dispatch/src/engine/world.rs
+++ b/crates/dispatch/src/engine/world.rs
@@ -7,7 +7,7 @@
 use base::time::Time;
 
 use super::state::{Channel, Timer};
-use super::{Engine, Extra, Note, Remote, pick};
+use super::{Budgets, Decision, Engine, Remote, pick};
 use crate::backend::{Backend, BackendId, Place, Report, Spec};
 use crate::class::{self, Class};
 
@@ -57,34 +57,34 @@
         let channel = self.channels.entry(region).or_insert_with(|| Channel {
             limit: 0,
             in_flight: 0,
-            open: remote.open(),
+            open: remote.is_uncapped(),
             unsized_in_flight: 0,
             bucket: rate::Bucket::new(remote.bytes_per_second, burst, now),
         });
-        channel.limit = remote.limit;
-        channel.open = remote.open();
+        channel.limit = remote.max_in_flight;
+        channel.open = remote.is_uncapped();
         channel.bucket.set_rate(remote.bytes_per_second, burst, now);
     }
 
     /// Changes how much extra work may be caused from now on.
-    pub fn set_extra(&mut self, extra: Extra) {
-        self.limits.extra = extra;
-        self.hedges.set(extra.hedge_part, extra.hedges_saved);
-        self.retries.set(extra.retry_part, extra.retries_saved);
+    pub fn set_budgets(&mut self, budgets: Budgets) {
+        self.limits.budgets = budgets;
+        self.hedges.set(budgets.hedge_ratio, budgets.hedge_burst);
+        self.retries.set(budgets.retry_ratio, budgets.retry_burst);
         for repeats in self.repeats.values_mut() {
-            repeats.set(extra.repeat_part, extra.repeats_saved);
+            repeats.set(budgets.repeat_ratio, budgets.repeat_burst);
         }
     }
 
     /// Takes in a load report that came with an answer; what waits is looked at when that answer is taken in.
-    pub fn note_report(&mut self, backend: BackendId, report: Report) {
+    pub fn record_report(&mut self, backend: BackendId, report: Report) {
         if let Some(backend) = self.backends.get_mut(&backend) {
             backend.report(report);
         }
     }
 
     /// Takes in a load report of a backend server.
-    pub fn report(&mut self, backend: BackendId, report: Report, now: Time) {
+    pub fn apply_report(&mut self, backend: BackendId, report: Report, now: Time) {
         if let Some(backend) = self.backends.get_mut(&backend) {
             backend.report(report);
         }
@@ -93,7 +93,7 @@
 
     /// A backend server said that it leaves, to us or to a peer; says whether that is news. What waits for it goes
     /// elsewhere.
-    pub fn note_leaving(&mut self, backend: BackendId, until: Time, now: Time) -> bool {
+    pub fn record_leaving(&mut self, backend: BackendId, until: Time, now: Time) -> bool {
         if !self.words.leave(backend, until, now) {
             return false;
         }
@@ -103,7 +103,7 @@
         let news = !server.leaving();
         server.hear(self.words.get(backend), now);
         if news {
-            self.notes.push(Note::Leaving { backend });
+            self.notes.push(Decision::Leaving { backend });
             self.index();
             self.pump(now);
         }
@@ -111,23 +111,23 @@
     }
 
     /// A backend server that turned a request away wants nothing from us for `pause`.
-    pub fn note_pause(&mut self, backend: BackendId, pause: Duration, now: Time) {
+    pub fn record_pause(&mut self, backend: BackendId, pause: Duration, now: Time) {
         self.words.pause(backend, pause, now);
         if let Some(server) = self.backends.get_mut(&backend) {
             server.hear(self.words.get(backend), now);
             self.pauses_end = self.pauses_end.max(server.paused_until());
-            self.notes.push(Note::Paused { backend, until: server.paused_until() });
+            self.notes.push(Decision::Paused { backend, until: server.paused_until() });
         }
     }
 
     /// The backend servers that said that they leave.
-    pub fn leaving(&self, now: Time) -> impl Iterator<Item = BackendId> {
+    pub fn leaving_backends(&self, now: Time) -> impl Iterator<Item = BackendId> {
         self.words.leaving(now)
     }
 
     /// The process stood still for `stood`, so what is believed of servers may not hold any more: nothing is sent until
     /// `until`, or until it is trusted again. Servers are not blamed for that time.
-    pub fn doubt(&mut self, stood: Duration, until: Time) {
+    pub fn suspend(&mut self, stood: Duration, until: Time) {
         self.doubted_until = self.doubted_until.max(until);
         for (number, attempt) in &mut self.attempts {
             attempt.started = attempt.started + stood;
@@ -139,7 +139,7 @@
     }
 
     /// What is believed holds: sends what has waited.
-    pub fn trust(&mut self, now: Time) {
+    pub fn resume(&mut self, now: Time) {
         self.doubted_until = Time::ZERO;
         self.pump(now);
     }
@@ -156,8 +156,8 @@
     }
 
     /// The losses for which requests with `fingerprint` are refused; none if they are not.
-    pub fn poison(&self, fingerprint: u64, now: Time) -> Vec<(u64, u64)> {
-        self.poison.losses(fingerprint, now)
+    pub fn quarantine_losses(&self, fingerprint: u64, now: Time) -> Vec<(u64, u64)> {
+        self.quarantine.losses(fingerprint, now)
     }
 
     /// Losses seen here since the last call, for peers.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -3,16 +3,16 @@
 //! [`Engine`] is a plain state machine. Events and the present time go in, [`Action`]s come out. The same code
 //! runs under sockets, under replay and under property tests.
 
+pub mod announcements;
 pub mod backend;
 pub mod budget;
 pub mod class;
 pub mod engine;
-pub mod poison;
+pub mod quarantine;
 pub mod samples;
 pub mod split;
 pub mod subset;
 pub mod warmth;
-pub mod words;
-pub mod work;
+pub mod work_time;
 
 pub use engine::{Action, Ending, Engine, Verdict};
--- a/crates/dispatch/src/poison.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -24,14 +24,14 @@
 
 /// Losses by fingerprint.
 #[derive(Debug, Clone)]
-pub struct Poison {
+pub struct Quarantine {
     kept: Duration,
     records: BTreeMap<u64, Record>,
     /// When each fingerprint was answered whole last.
     answered: BTreeMap<u64, Time>,
 }
 
-impl Poison {
+impl Quarantine {
     /// Remembers each loss for `kept`.
     pub const fn new(kept: Duration) -> Self {
         Self { kept, records: BTreeMap::new(), answered: BTreeMap::new() }
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -2,7 +2,7 @@
 
 /// A service's part of a class's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct Share {
     /// The service, by position.
     pub service: u16,
     /// Its weight among the parts.
@@ -12,20 +12,20 @@
 /// Deals requests out so that each part has its share at any time, not only on average.
 #[derive(Debug, Clone, Default)]
 pub struct Split {
-    parts: Vec<Part>,
+    parts: Vec<Share>,
     credits: Vec<i64>,
 }
 
 impl Split {
     /// A split between `parts`; parts without weight get nothing.
-    pub fn new(parts: &[Part]) -> Self {
-        let parts: Vec<Part> = parts.iter().copied().filter(|part| part.weight > 0).collect();
+    pub fn new(parts: &[Share]) -> Self {
+        let parts: Vec<Share> = parts.iter().copied().filter(|part| part.weight > 0).collect();
         let credits = vec![0; parts.len()];
         Self { parts, credits }
     }
 
     /// Whether the split is between `parts`.
-    pub fn is_between(&self, parts: &[Part]) -> bool {
+    pub fn is_between(&self, parts: &[Share]) -> bool {
         parts.iter().filter(|part| part.weight > 0).eq(self.parts.iter())
     }
 
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -22,7 +22,7 @@
 ///
 /// Load pattern: servers and daemons start at the same time. A daemon that is not `settled` does not know the others
 /// yet and would take itself for the only one, as each of them would.
-pub fn start_part(daemon: u64, daemons: &[u64], backend: u64, starters: usize, settled: bool) -> (f64, bool) {
+pub fn start_share(daemon: u64, daemons: &[u64], backend: u64, starters: usize, settled: bool) -> (f64, bool) {
     if !settled {
         return (0.0, false);
     }
--- a/crates/dispatch/src/work.rs
+++ b/crates/dispatch/src/work_time.rs
@@ -9,12 +9,12 @@
 
 /// Times of work at servers that had a slot free, by whether they had handled the object lately.
 #[derive(Debug, Clone)]
-pub struct Work {
+pub struct Estimate {
     warm: Samples,
     cold: Samples,
 }
 
-impl Work {
+impl Estimate {
     /// Nothing was seen; work that goes fast is taken to last `first`.
     pub const fn new(first: Duration) -> Self {
         Self { warm: Samples::new(first), cold: Samples::new(first.saturating_mul(FIRST_COLD)) }
--- a/crates/dispatch/tests/words.rs
+++ b/crates/dispatch/tests/announcements.rs
@@ -8,9 +8,9 @@
 use base::time::Time;
 use common::cluster::Cluster;
 use common::{LOOKUP, ORDER, World, backend, refused};
+use dispatch::announcements::Announcements;
 use dispatch::backend::{BackendId, Place};
 use dispatch::engine::Arrival;
-use dispatch::words::Words;
 use dispatch::{Action, Ending, Engine, Verdict, class};
 use rstest::rstest;
 
@@ -41,8 +41,8 @@
 fn a_server_that_says_it_leaves_gets_nothing_whatever_the_list_says(#[case] class: usize) {
     let mut world = world(3);
     let until = world.now + HOUR;
-    assert!(world.engine.note_leaving(2, until, world.now), "it is news");
-    assert!(!world.engine.note_leaving(2, until, world.now), "it is no news again");
+    assert!(world.engine.record_leaving(2, until, world.now), "it is news");
+    assert!(!world.engine.record_leaving(2, until, world.now), "it is no news again");
     assert!(!asked(&mut world, class).contains(&2));
     let listed = || (1..=3).map(|id| backend(id, Place::Domain)).collect::<Vec<_>>();
     world.engine.set_backends(listed(), world.now);
@@ -59,10 +59,10 @@
 #[test]
 fn a_word_that_comes_before_the_list_counts() {
     let mut world = world(1);
-    assert!(world.engine.note_leaving(9, world.now + HOUR, world.now));
+    assert!(world.engine.record_leaving(9, world.now + HOUR, world.now));
     world.engine.set_backends(vec![backend(1, Place::Domain), backend(9, Place::Domain)], world.now);
     assert!(!asked(&mut world, LOOKUP).contains(&9));
-    assert_eq!(world.engine.leaving(world.now).collect::<Vec<_>>(), [9]);
+    assert_eq!(world.engine.leaving_backends(world.now).collect::<Vec<_>>(), [9]);
 }
 
 /// Load: requests wait for the home of their object, which says that it leaves.
@@ -82,7 +82,7 @@
     assert!(sent.iter().all(|(_, server)| *server == home), "{sent:?}");
     let waiting = engine.queued();
     assert!(waiting > 0, "the others wait");
-    engine.note_leaving(home, now + HOUR, now);
+    engine.record_leaving(home, now + HOUR, now);
     let moved = starts(&mut engine);
     assert!(!moved.is_empty() && moved.iter().all(|(_, server)| *server != home), "{moved:?}");
 }
@@ -92,7 +92,7 @@
         Action::Start { attempt, backend, .. } => Some((attempt, backend)),
         _ => None,
     };
-    engine.take().into_iter().filter_map(start).collect()
+    engine.take_actions().into_iter().filter_map(start).collect()
 }
 
 #[rstest]
@@ -116,8 +116,8 @@
 fn only_what_may_still_be_sent_is_sent() {
     let mut world = world(3);
     assert!(world.engine.may_send(1, world.now) && !world.engine.may_send(4, world.now));
-    world.engine.note_leaving(1, world.now + HOUR, world.now);
-    world.engine.note_pause(2, SECOND, world.now);
+    world.engine.record_leaving(1, world.now + HOUR, world.now);
+    world.engine.record_pause(2, SECOND, world.now);
     assert!(!world.engine.may_send(1, world.now) && !world.engine.may_send(2, world.now));
     assert!(world.engine.may_send(2, world.now + SECOND));
 }
@@ -128,12 +128,12 @@
 fn where_every_server_wants_nothing_the_refusal_comes_at_once_and_tells_when_to_come_back(#[case] class: usize) {
     let mut world = world(3);
     let pause = Duration::from_secs(10);
-    (1..=3).for_each(|server| world.engine.note_pause(server, pause, world.now));
+    (1..=3).for_each(|server| world.engine.record_pause(server, pause, world.now));
     let now = world.now;
     let request = 900;
     world.engine.submit(Arrival::new(request, class, request, 10), now);
-    let answer = world.engine.take().into_iter().find_map(|action| match action {
-        Action::Answer { verdict, after, .. } => Some((verdict, after)),
+    let answer = world.engine.take_actions().into_iter().find_map(|action| match action {
+        Action::Answer { verdict, retry_after: after, .. } => Some((verdict, after)),
         _ => None,
     });
     let (verdict, after) = answer.expect("it is refused at once");
@@ -144,7 +144,7 @@
 #[test]
 fn a_pause_that_ends_in_time_is_waited_for() {
     let mut world = world(1);
-    world.engine.note_pause(1, Duration::from_millis(200), world.now);
+    world.engine.record_pause(1, Duration::from_millis(200), world.now);
     let request = world.send(LOOKUP);
     assert!(refused(&world, request).is_none() && world.attempts_of(request).is_empty());
     world.pass(Duration::from_millis(250));
@@ -154,7 +154,7 @@
 #[test]
 fn a_server_that_left_the_list_and_came_back_still_wants_nothing() {
     let mut world = world(2);
-    world.engine.note_pause(2, Duration::from_secs(10), world.now);
+    world.engine.record_pause(2, Duration::from_secs(10), world.now);
     world.engine.set_backends(vec![backend(1, Place::Domain)], world.now);
     world.engine.set_backends(vec![backend(1, Place::Domain), backend(2, Place::Domain)], world.now);
     assert!(!asked(&mut world, LOOKUP).contains(&2));
@@ -162,7 +162,7 @@
 
 #[test]
 fn words_of_many_servers_take_bounded_room_and_the_latest_stay() {
-    let mut words = Words::new();
+    let mut words = Announcements::new();
     let now = Time::from_millis(1_000);
     (0..20_000).for_each(|server| words.pause(server, Duration::from_millis(u64::from(server) + 1), now));
     words.leave(1, now + HOUR, now);
@@ -226,7 +226,7 @@
     let before = world.send(LOOKUP);
     let on_its_way = world.attempts_of(before)[0];
     let begun = world.now;
-    world.engine.doubt(SECOND * 5, begun + Duration::from_millis(300));
+    world.engine.suspend(SECOND * 5, begun + Duration::from_millis(300));
     assert!(!world.engine.may_send(world.live[&on_its_way].backend, begun), "nor what was decided before");
     world.end(on_its_way, Ending::Recalled);
     let requests = [world.send(LOOKUP), world.send(ORDER), before];
@@ -234,7 +234,7 @@
     assert!(requests.iter().all(|request| world.attempts_of(*request).is_empty()));
     if let Some(after) = trusted_after {
         world.pass((begun + Duration::from_millis(after)).since(world.now));
-        world.engine.trust(world.now);
+        world.engine.resume(world.now);
     }
     world.pass(Duration::from_millis(20));
     assert!(requests.iter().all(|request| world.attempts_of(*request).len() == 1));
--- a/crates/dispatch/tests/blame.rs
+++ b/crates/dispatch/tests/blame.rs
@@ -67,7 +67,7 @@
     engine.set_backends((1..=3).map(|id| backend(id, Place::Domain)).collect(), now);
     for request in 1..200 {
         let limit = if request < 50 { None } else { Some(MS * 30) };
-        engine.submit(Arrival { limit, ..Arrival::new(request, LOOKUP, request, 10) }, now);
+        engine.submit(Arrival { timeout: limit, ..Arrival::new(request, LOOKUP, request, 10) }, now);
         let attempts: Vec<u64> = starts(&mut engine).into_iter().map(|(attempt, _)| attempt).collect();
         // Usual work takes 40 ms.
         now = now + limit.unwrap_or(MS * 40);
@@ -84,7 +84,7 @@
         Action::Start { attempt, backend, .. } => Some((attempt, backend)),
         _ => None,
     };
-    engine.take().into_iter().filter_map(start).collect()
+    engine.take_actions().into_iter().filter_map(start).collect()
 }
 
 /// Load: many requests run while the process is stopped for five seconds.
@@ -104,7 +104,7 @@
     assert!(running.len() >= 4);
     let stood = Duration::from_secs(5);
     let woke = begun + stood;
-    engine.doubt(stood, woke + MS * 300);
+    engine.suspend(stood, woke + MS * 300);
     engine.tick(woke);
     for (attempt, _) in running {
         engine.finish(attempt, Ending::Timeout, woke + MS);
--- a/crates/dispatch/tests/cases.rs
+++ b/crates/dispatch/tests/cases.rs
@@ -151,7 +151,7 @@
     world.engine.set_backends(specs, now);
     world.pass(Duration::ZERO);
     let running = world.send(ORDER);
-    let bulk: Vec<u64> = (0..common::LIMITS.queued).map(|_| world.send(BULK)).collect();
+    let bulk: Vec<u64> = (0..common::LIMITS.max_queued).map(|_| world.send(BULK)).collect();
     let order = world.send(ORDER);
     assert_eq!(refused(&world, order), None);
     assert_eq!(refused(&world, *bulk.last().expect("bulk was sent")), Some(Kind::QueueFull));
@@ -301,7 +301,7 @@
 #[test]
 fn first_answers_over_a_link_without_a_cap_are_not_held_back() {
     let mut world = World::new((1..=8).map(|id| backend(id, Place::Remote(1))).collect(), 7);
-    world.set_remote(Remote::OPEN.limit, Remote::OPEN.bytes_per_second);
+    world.set_remote(Remote::UNLIMITED.max_in_flight, Remote::UNLIMITED.bytes_per_second);
     for _ in 0..8 {
         world.send(LOOKUP);
     }
@@ -344,7 +344,7 @@
     let mut server = Backend::new(backend(1, Place::Domain), now);
     for _ in 0..times {
         server.start(false, now);
-        server.note_late(true, keyed, now);
+        server.record_late(true, keyed, now);
         if answers {
             server.end(false, true, now);
             server.answered(3.0, true, keyed, now);
--- a/crates/dispatch/tests/common/cluster.rs
+++ b/crates/dispatch/tests/common/cluster.rs
@@ -7,7 +7,7 @@
 use base::time::Time;
 use dispatch::backend::{BackendId, Place, Report, Spec};
 use dispatch::class;
-use dispatch::engine::{Arrival, Extra, Limits, Remote};
+use dispatch::engine::{Arrival, Budgets, Limits, Remote};
 use dispatch::{Action, Ending, Engine, Verdict};
 
 /// Objects that a server remembers.
@@ -133,11 +133,20 @@
     }
 
     fn engine(&self, region: u16, seed: u64) -> Engine {
-        let class =
-            class::Spec { affinity: true, target: self.target, tries: 2, ..class::Spec::new(0, self.target * 4) };
-        let limits = Limits { queued: 512, in_flight: 512, poison: Duration::from_mins(10), extra: Extra::DEFAULT };
+        let class = class::Spec {
+            affinity: true,
+            target: self.target,
+            max_attempts: 2,
+            ..class::Spec::new(0, self.target * 4)
+        };
+        let limits = Limits {
+            max_queued: 512,
+            max_in_flight: 512,
+            quarantine: Duration::from_mins(10),
+            budgets: Budgets::DEFAULT,
+        };
         let mut engine = Engine::new(vec![class], limits, seed);
-        let open = Remote { limit: u32::MAX, bytes_per_second: 1e9 };
+        let open = Remote { max_in_flight: u32::MAX, bytes_per_second: 1e9 };
         (0..3).for_each(|other| engine.set_remote(other, open, self.now));
         let spec = |(id, server): (&BackendId, &Server)| Spec {
             id: *id,
@@ -147,7 +156,7 @@
             leaving: false,
             hosts: true,
             region: server.region,
-            start: None,
+            slow_start: None,
         };
         engine.set_backends(self.servers.iter().map(spec).collect(), self.now);
         engine
@@ -208,7 +217,7 @@
         loop {
             let event = self.events.first().map(|(at, _, _)| *at);
             let wakes = self.engines.iter().enumerate();
-            let wake = wakes.filter_map(|(index, (engine, _))| Some((engine.wake()?, index))).min();
+            let wake = wakes.filter_map(|(index, (engine, _))| Some((engine.next_wakeup()?, index))).min();
             match (event, wake) {
                 (Some(at), wake) if at <= to && wake.is_none_or(|(wake, _)| at <= wake) => {
                     self.now = self.now.max(at);
@@ -242,14 +251,14 @@
             Event::Lost { engine, attempt } => self.lose(engine, attempt),
             Event::Pause { server, engine, attempt, pause } => {
                 self.told.insert((engine, server), self.now);
-                self.engines[engine].0.note_pause(server, pause, self.now);
+                self.engines[engine].0.record_pause(server, pause, self.now);
                 self.engines[engine].0.finish(attempt, Ending::Shed, self.now);
                 self.settle(engine);
             }
             Event::Answer { server, engine, attempt, shed, load } => {
                 let report = Report { load, draining: false, pace: Some(1.0), at: self.now };
                 let engine_state = &mut self.engines[engine].0;
-                engine_state.note_report(server, report);
+                engine_state.record_report(server, report);
                 engine_state.finish(attempt, if shed { Ending::Shed } else { Ending::Answered(1_000) }, self.now);
                 self.settle(engine);
             }
@@ -318,7 +327,7 @@
     }
 
     fn settle(&mut self, engine: usize) {
-        for action in self.engines[engine].0.take() {
+        for action in self.engines[engine].0.take_actions() {
             match action {
                 Action::Start { request, attempt, backend, .. } => {
                     self.attempts.insert((engine, attempt), (request, backend));
@@ -327,7 +336,7 @@
                     self.plan(at, Event::Reach { server: backend, engine, attempt, object });
                 }
                 Action::Cancel { attempt, backend } => self.cancel(engine, attempt, backend),
-                Action::Answer { request, verdict, after } => self.answer(request, verdict, after),
+                Action::Answer { request, verdict, retry_after: after } => self.answer(request, verdict, after),
             }
         }
     }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use base::time::Time;
 use dispatch::backend::{BackendId, Place, Report, Spec};
 use dispatch::class;
-use dispatch::engine::{Arrival, Extra, Limits, Remote};
+use dispatch::engine::{Arrival, Budgets, Limits, Remote};
 use dispatch::{Action, Ending, Engine, Verdict};
 
 pub const LOOKUP: usize = 0;
@@ -18,7 +18,7 @@
 pub const BULK: usize = 2;
 
 pub const LIMITS: Limits =
-    Limits { queued: 512, in_flight: 64, poison: Duration::from_mins(10), extra: Extra::DEFAULT };
+    Limits { max_queued: 512, max_in_flight: 64, quarantine: Duration::from_mins(10), budgets: Budgets::DEFAULT };
 
 pub fn classes() -> Vec<class::Spec> {
     let lookup = class::Spec { rank: 1, ..class::Spec::new(0, Duration::from_secs(1)) };
@@ -28,7 +28,7 @@
 }
 
 pub fn backend(id: BackendId, place: Place) -> Spec {
-    Spec { id, service: 0, place, slots: 3, leaving: false, hosts: true, region: 0, start: None }
+    Spec { id, service: 0, place, slots: 3, leaving: false, hosts: true, region: 0, slow_start: None }
 }
 
 /// What is known of one attempt.
@@ -83,7 +83,7 @@
 
     pub fn set_remote(&mut self, limit: u32, bytes_per_second: f64) {
         self.remote_limit = limit;
-        self.engine.set_remote(1, Remote { limit, bytes_per_second }, self.now);
+        self.engine.set_remote(1, Remote { max_in_flight: limit, bytes_per_second }, self.now);
         self.settle();
     }
 
@@ -112,14 +112,14 @@
     }
 
     pub fn report(&mut self, backend: BackendId, load: u32, draining: bool) {
-        self.engine.report(backend, Report { load, draining, pace: None, at: self.now }, self.now);
+        self.engine.apply_report(backend, Report { load, draining, pace: None, at: self.now }, self.now);
         self.settle();
     }
 
     /// Lets time pass, waking the engine whenever it wants.
     pub fn pass(&mut self, time: Duration) {
         let end = self.now + time;
-        while let Some(wake) = self.engine.wake().filter(|wake| *wake <= end) {
+        while let Some(wake) = self.engine.next_wakeup().filter(|wake| *wake <= end) {
             self.now = self.now.max(wake);
             self.engine.tick(self.now);
             self.settle();
@@ -151,7 +151,7 @@
     }
 
     fn settle(&mut self) {
-        for action in self.engine.take() {
+        for action in self.engine.take_actions() {
             match action {
                 Action::Start { request, attempt, backend, .. } => self.started(request, attempt, backend),
                 Action::Cancel { attempt, .. } => {
--- a/crates/dispatch/tests/notes.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -8,7 +8,7 @@
 use base::time::Time;
 use common::{LIMITS, LOOKUP, backend, classes};
 use dispatch::backend::Place;
-use dispatch::engine::{Arrival, Note};
+use dispatch::engine::{Arrival, Decision};
 use dispatch::{Action, Ending, Engine, class};
 
 const START: Time = Time::from_millis(1_000);
@@ -25,7 +25,7 @@
 /// Attempts started since the last call.
 fn started(engine: &mut Engine) -> Vec<u64> {
     let attempt = |action| if let Action::Start { attempt, .. } = action { Some(attempt) } else { None };
-    engine.take().into_iter().filter_map(attempt).collect()
+    engine.take_actions().into_iter().filter_map(attempt).collect()
 }
 
 fn submit(engine: &mut Engine, request: u64, fingerprint: u64, now: Time) {
@@ -37,16 +37,16 @@
 fn a_request_that_waits_and_is_refused_is_noted_with_what_that_rests_on() {
     let mut engine = engine(1, true);
     (1..=9).for_each(|request| submit(&mut engine, request, request, START));
-    let held: Vec<Note> = engine.take_notes();
-    let Some(Note::Held { request, waiting, chances }) = held.first() else { panic!("none is held: {held:?}") };
+    let held: Vec<Decision> = engine.take_decisions();
+    let Some(Decision::Held { request, waiting, candidates }) = held.first() else { panic!("none is held: {held:?}") };
     assert_eq!((*request, *waiting), (3, 1), "a server that told nothing yet gets two requests at home");
-    let chance = chances[0].expect("the only server is considered");
+    let chance = candidates[0].expect("the only server is considered");
     assert_eq!((chance.backend, chance.load >= 1.0), (1, true));
-    assert!(chance.finish > Duration::ZERO);
+    assert!(chance.expected_latency > Duration::ZERO);
     let later = START + TARGET;
     engine.tick(later);
-    let refused = engine.take_notes().into_iter().find_map(|note| match note {
-        Note::Refused { request: 3, kind, waited, tries, .. } => Some((kind, waited, tries)),
+    let refused = engine.take_decisions().into_iter().find_map(|note| match note {
+        Decision::Refused { request: 3, kind, waited, attempts: tries, .. } => Some((kind, waited, tries)),
         _ => None,
     });
     assert_eq!(refused, Some((Kind::WontFinish, TARGET, 0)));
@@ -58,9 +58,9 @@
     submit(&mut engine, 1, 1, START);
     let first = started(&mut engine);
     engine.finish(first[0], Ending::Unreachable, START);
-    let notes = engine.take_notes();
+    let notes = engine.take_decisions();
     let until = notes.iter().find_map(|note| match note {
-        Note::Ejected { backend: 1, until, .. } => Some(*until),
+        Decision::Ejected { backend: 1, until, .. } => Some(*until),
         _ => None,
     });
     let until = until.expect("it is ejected");
@@ -68,14 +68,14 @@
     submit(&mut engine, 2, 2, until);
     let second = started(&mut engine);
     engine.finish(second[0], Ending::Answered(1), until);
-    assert!(engine.take_notes().contains(&Note::Trusted { backend: 1 }));
+    assert!(engine.take_decisions().contains(&Decision::Reinstated { backend: 1 }));
 }
 
 #[test]
 fn a_fingerprint_is_noted_once_when_it_becomes_poisonous() {
     let mut engine = engine(4, false);
     engine.merge_losses(&[(99, 1)], START);
-    assert!(engine.take_notes().is_empty());
+    assert!(engine.take_decisions().is_empty());
     engine.merge_losses(&[(99, 2), (99, 3)], START);
-    assert_eq!(engine.take_notes(), [Note::Poisonous { fingerprint: 99 }]);
+    assert_eq!(engine.take_decisions(), [Decision::Quarantined { fingerprint: 99 }]);
 }
--- a/crates/dispatch/tests/keyed.rs
+++ b/crates/dispatch/tests/keyed.rs
@@ -95,14 +95,14 @@
     let specs = common::classes().into_iter().map(|spec| class::Spec { affinity: true, ..spec }).collect();
     let mut engine = Engine::new(specs, common::LIMITS, 7);
     let now = Time::from_millis(1_000);
-    engine.set_remote(1, Remote { limit: u32::MAX, bytes_per_second: 1e9 }, now);
+    engine.set_remote(1, Remote { max_in_flight: u32::MAX, bytes_per_second: 1e9 }, now);
     let elsewhere = Spec { region: 1, ..common::backend(9, Place::Remote(1)) };
     engine.set_backends(vec![common::backend(1, Place::Region), common::backend(2, Place::Region), elsewhere], now);
     for request in 1..=3 {
         engine.submit(Arrival { object: Some(5), ..Arrival::new(request, common::LOOKUP, request, 10) }, now);
     }
     let server = |action| if let Action::Start { backend, .. } = action { Some(backend) } else { None };
-    let servers: Vec<BackendId> = engine.take().into_iter().filter_map(server).collect();
+    let servers: Vec<BackendId> = engine.take_actions().into_iter().filter_map(server).collect();
     assert_eq!(servers[0], servers[1], "the first two go to the object's home");
     assert_eq!(servers[2], 9, "a third is not sent where nobody knows what waits");
 }
@@ -122,7 +122,7 @@
     let home = |engine: &mut Engine, class: usize, object: u64| {
         engine.submit(Arrival { object: Some(object), ..Arrival::new(object, class, object, 10) }, now);
         let server = |action| if let Action::Start { backend, .. } = action { Some(backend) } else { None };
-        engine.take().into_iter().find_map(server)
+        engine.take_actions().into_iter().find_map(server)
     };
     for object in 1..=9 {
         assert_eq!(home(&mut old, 1, object), home(&mut young, 0, object), "object {object}");
@@ -140,7 +140,7 @@
     let mut started = Vec::new();
     for request in 1..=2_000 {
         engine.submit(Arrival { object: Some(request), ..Arrival::new(request, 0, request, 10) }, now);
-        started.extend(engine.take().into_iter().filter_map(|action| match action {
+        started.extend(engine.take_actions().into_iter().filter_map(|action| match action {
             Action::Start { attempt, .. } => Some(attempt),
             _ => None,
         }));
@@ -149,7 +149,7 @@
     let before = engine.choices();
     engine.finish(started[0], Ending::Answered(10), now + Duration::from_millis(1));
     let looked_at = engine.choices() - before;
-    let more = engine.take().into_iter().filter(|action| matches!(action, Action::Start { .. })).count();
+    let more = engine.take_actions().into_iter().filter(|action| matches!(action, Action::Start { .. })).count();
     assert!(more >= 1, "the server that has room gets what waits for it");
     assert!(looked_at <= WAITING / 10, "{looked_at} of {} were looked at", engine.queued());
 }
--- a/crates/dispatch/tests/properties.rs
+++ b/crates/dispatch/tests/properties.rs
@@ -64,11 +64,11 @@
         Event::Report(id, load) => world.report(id, load, false),
         Event::SaysLeaving(id) => {
             let now = world.now;
-            world.engine.note_leaving(id, now + Duration::from_secs(2), now);
+            world.engine.record_leaving(id, now + Duration::from_secs(2), now);
             world.pass(Duration::ZERO);
         }
         Event::WantsNothing(id, pause) => {
-            world.engine.note_pause(id, Duration::from_millis(pause.into()), world.now);
+            world.engine.record_pause(id, Duration::from_millis(pause.into()), world.now);
         }
         Event::Leave(id, leaving) => {
             specs.iter_mut().filter(|spec| spec.id == id).for_each(|spec| spec.leaving = leaving);
@@ -105,7 +105,7 @@
         }
         world.finish();
         prop_assert!(!world.waiting_limit_broken, "two waiting requests on one server");
-        prop_assert_eq!(world.engine.open(), 0);
+        prop_assert_eq!(world.engine.open_requests(), 0);
         prop_assert_eq!(world.engine.in_flight(), 0);
         for (request, trace) in &world.traces {
             prop_assert_eq!(trace.answers.len(), 1, "request {} of class {}", request, trace.class);
--- a/crates/dispatch/tests/rules.rs
+++ b/crates/dispatch/tests/rules.rs
@@ -7,17 +7,17 @@
 
 use base::time::Time;
 use common::{LIMITS, LOOKUP, ORDER, backend, classes};
-use dispatch::backend::{Backend, BackendId, Place, Spec, Start};
-use dispatch::engine::{Arrival, Extra, Limits, Remote};
-use dispatch::split::Part;
+use dispatch::backend::{Backend, BackendId, Place, SlowStart, Spec};
+use dispatch::engine::{Arrival, Budgets, Limits, Remote};
+use dispatch::split::Share;
 use dispatch::{Action, Ending, Engine, class, subset};
 use rstest::rstest;
 
 const START: Time = Time::from_millis(1_000);
 
-fn engine(classes: Vec<class::Spec>, extra: Extra, servers: Vec<Spec>) -> Engine {
-    let mut engine = Engine::new(classes, Limits { extra, ..LIMITS }, 7);
-    engine.set_remote(1, Remote { limit: u32::MAX, bytes_per_second: 1e9 }, START);
+fn engine(classes: Vec<class::Spec>, budgets: Budgets, servers: Vec<Spec>) -> Engine {
+    let mut engine = Engine::new(classes, Limits { budgets, ..LIMITS }, 7);
+    engine.set_remote(1, Remote { max_in_flight: u32::MAX, bytes_per_second: 1e9 }, START);
     engine.set_backends(servers, START);
     engine
 }
@@ -32,7 +32,7 @@
         Action::Start { attempt, backend, .. } => Some((attempt, backend)),
         _ => None,
     };
-    engine.take().into_iter().filter_map(start).collect()
+    engine.take_actions().into_iter().filter_map(start).collect()
 }
 
 /// Load: a whole service is full. Every attempt is turned away unrun, and would be sent elsewhere.
@@ -40,10 +40,10 @@
 #[case::a_fifth(0.2, 3.0)]
 #[case::none(0.0, 0.0)]
 fn second_sends_of_a_service_stay_within_their_part(#[case] part: f64, #[case] saved: f64) {
-    let extra =
-        Extra { retry_part: 1.0, retries_saved: 100.0, repeat_part: part, repeats_saved: saved, ..Extra::DEFAULT };
+    let budgets =
+        Budgets { retry_ratio: 1.0, retry_burst: 100.0, repeat_ratio: part, repeat_burst: saved, ..Budgets::DEFAULT };
     let servers = (1..=9).map(|id| backend(id, Place::Domain)).collect();
-    let mut engine = engine(classes(), extra, servers);
+    let mut engine = engine(classes(), budgets, servers);
     let (mut sends, mut now) = (0_u32, START);
     for request in 1..=200 {
         now = now + Duration::from_millis(500);
@@ -64,10 +64,10 @@
 #[case::ours(4.0, 4 + 1)]
 #[case::left_to_others(0.0, 0)]
 fn a_starting_server_gets_its_rate_and_no_more(#[case] per_second: f64, #[case] most: usize) {
-    let start = Start { until: START + Duration::from_mins(1), per_second, starter: per_second > 0.0, phase: 0.0 };
+    let start = SlowStart { until: START + Duration::from_mins(1), per_second, starter: per_second > 0.0, phase: 0.0 };
     let spec = class::Spec { affinity: true, ..classes()[LOOKUP].clone() };
-    let server = Spec { start: Some(start), slots: 100, ..backend(1, Place::Region) };
-    let mut engine = engine(vec![spec], Extra::DEFAULT, vec![server]);
+    let server = Spec { slow_start: Some(start), slots: 100, ..backend(1, Place::Region) };
+    let mut engine = engine(vec![spec], Budgets::DEFAULT, vec![server]);
     let mut count = 0;
     for turn in 0..100 {
         let now = START + Duration::from_millis(10 * turn);
@@ -88,7 +88,7 @@
     let elsewhere = |id| Spec { region: 1, ..backend(id, Place::Remote(1)) };
     let mut servers = vec![backend(1, Place::Region)];
     servers.extend((2..=9).map(elsewhere));
-    let mut engine = engine(vec![class], Extra::DEFAULT, servers);
+    let mut engine = engine(vec![class], Budgets::DEFAULT, servers);
     let mut now = START;
     for request in 1..=50 {
         now = now + Duration::from_millis(20);
@@ -104,10 +104,10 @@
 
 #[test]
 fn services_share_a_class_by_their_weights() {
-    let split = vec![Part { service: 0, weight: 3 }, Part { service: 1, weight: 1 }];
+    let split = vec![Share { service: 0, weight: 3 }, Share { service: 1, weight: 1 }];
     let class = class::Spec { split, ..classes()[LOOKUP].clone() };
     let servers = vec![backend(1, Place::Domain), Spec { service: 1, ..backend(2, Place::Domain) }];
-    let mut engine = engine(vec![class], Extra::DEFAULT, servers);
+    let mut engine = engine(vec![class], Budgets::DEFAULT, servers);
     let mut counts: BTreeMap<BackendId, u32> = BTreeMap::new();
     for request in 1..=400 {
         let now = START + Duration::from_millis(10 * request);
@@ -124,11 +124,11 @@
 #[case::lookup(LOOKUP, true)]
 #[case::order(ORDER, false)]
 fn work_whose_caller_left_is_cancelled_only_if_it_may_run_twice(#[case] class: usize, #[case] cancelled: bool) {
-    let mut engine = engine(classes(), Extra::DEFAULT, vec![backend(1, Place::Domain)]);
+    let mut engine = engine(classes(), Budgets::DEFAULT, vec![backend(1, Place::Domain)]);
     submit(&mut engine, 1, class, None, START);
     assert_eq!(started(&mut engine).len(), 1);
     engine.abandon(1, START);
-    let cancels = engine.take().iter().filter(|action| matches!(action, Action::Cancel { .. })).count();
+    let cancels = engine.take_actions().iter().filter(|action| matches!(action, Action::Cancel { .. })).count();
     assert_eq!(cancels, usize::from(cancelled));
 }
 
@@ -137,12 +137,12 @@
 fn daemons_that_do_not_know_each_other_yet_send_a_starting_server_nothing() {
     let all: Vec<u64> = (100..133).collect();
     let sum = |known: &dyn Fn(u64) -> Vec<u64>, settled: bool| -> f64 {
-        let parts = all.iter().map(|daemon| subset::start_part(*daemon, &known(*daemon), 7, 3, settled));
+        let parts = all.iter().map(|daemon| subset::start_share(*daemon, &known(*daemon), 7, 3, settled));
         parts.filter(|(_, starter)| *starter).map(|(part, _)| part).sum()
     };
     assert!(sum(&|daemon| vec![daemon], false) < f64::EPSILON);
     assert!((sum(&|_| all.clone(), true) - 1.0).abs() < 1e-9);
-    let (part, starter) = subset::start_part(100, &[100], 7, 3, true);
+    let (part, starter) = subset::start_share(100, &[100], 7, 3, true);
     assert!(starter && (part - 1.0 / 3.0).abs() < 1e-9, "a daemon alone sends its part only");
 }
 
@@ -156,12 +156,12 @@
     #[case] sends: bool,
 ) {
     let start = |per_second| {
-        Some(Start { until: START + Duration::from_mins(1), per_second, starter: per_second > 0.0, phase: 0.0 })
+        Some(SlowStart { until: START + Duration::from_mins(1), per_second, starter: per_second > 0.0, phase: 0.0 })
     };
     let class = class::Spec { affinity: true, ..classes()[LOOKUP].clone() };
     let mut engine =
-        engine(vec![class], Extra::DEFAULT, vec![Spec { start: start(before), ..backend(1, Place::Region) }]);
-    engine.set_backends(vec![Spec { start: start(after), ..backend(1, Place::Region) }], START);
+        engine(vec![class], Budgets::DEFAULT, vec![Spec { slow_start: start(before), ..backend(1, Place::Region) }]);
+    engine.set_backends(vec![Spec { slow_start: start(after), ..backend(1, Place::Region) }], START);
     let now = START + Duration::from_secs(2);
     submit(&mut engine, 1, LOOKUP, Some(1), now);
     assert_eq!(!started(&mut engine).is_empty(), sends);
@@ -173,8 +173,8 @@
     let (daemons, bears) = (33, 5.0);
     let server = |daemon: u32| {
         let phase = f64::from(daemon) / f64::from(daemons);
-        let start = Start { until: Time::ZERO, per_second: bears / f64::from(daemons), starter: false, phase };
-        let mut server = Backend::new(Spec { start: Some(start), ..backend(1, Place::Region) }, START);
+        let start = SlowStart { until: Time::ZERO, per_second: bears / f64::from(daemons), starter: false, phase };
+        let mut server = Backend::new(Spec { slow_start: Some(start), ..backend(1, Place::Region) }, START);
         server.failed(START);
         server
     };
@@ -182,7 +182,7 @@
     for second in 1..30 {
         let now = START + Duration::from_secs(second);
         let before = waiting.len();
-        waiting.retain(|server| server.closed(now) || !server.admits(now));
+        waiting.retain(|server| server.unavailable(now) || !server.admits(now));
         assert!((before - waiting.len()) as f64 <= bears + 1.0, "{} in second {second}", before - waiting.len());
     }
     assert!(waiting.is_empty(), "{} daemons never try it", waiting.len());
--- a/crates/dispatch/tests/shed.rs
+++ b/crates/dispatch/tests/shed.rs
@@ -7,7 +7,7 @@
 use base::time::Time;
 use common::{LIMITS, LOOKUP, backend, classes};
 use dispatch::backend::{BackendId, Place, Report};
-use dispatch::engine::{Arrival, Extra, Limits};
+use dispatch::engine::{Arrival, Budgets, Limits};
 use dispatch::{Action, Ending, Engine, class};
 use rstest::rstest;
 
@@ -15,9 +15,9 @@
 
 /// An engine that sends nothing twice, before five servers of three slots.
 fn engine() -> Engine {
-    let extra = Extra { retry_part: 0.0, retries_saved: 0.0, hedges_saved: 0.0, ..Extra::DEFAULT };
+    let budgets = Budgets { retry_ratio: 0.0, retry_burst: 0.0, hedge_burst: 0.0, ..Budgets::DEFAULT };
     let specs = classes().into_iter().map(|spec| class::Spec { affinity: true, ..spec }).collect();
-    let mut engine = Engine::new(specs, Limits { extra, ..LIMITS }, 7);
+    let mut engine = Engine::new(specs, Limits { budgets, ..LIMITS }, 7);
     engine.set_backends((1..=5).map(|id| backend(id, Place::Domain)).collect(), NOW);
     engine
 }
@@ -29,20 +29,20 @@
         Action::Start { attempt, backend, .. } => Some((attempt, backend)),
         _ => None,
     };
-    engine.take().into_iter().find_map(start).expect("the request is sent at once")
+    engine.take_actions().into_iter().find_map(start).expect("the request is sent at once")
 }
 
 /// A server turns an attempt away and tells how much it has to do, if anything; says when the caller should come back.
 fn shed(engine: &mut Engine, (attempt, server): (u64, BackendId), load: Option<u32>) -> Duration {
     if let Some(load) = load {
-        engine.note_report(server, Report { load, draining: false, pace: Some(1.0), at: NOW });
+        engine.record_report(server, Report { load, draining: false, pace: Some(1.0), at: NOW });
     }
     engine.finish(attempt, Ending::Shed, NOW);
     let after = |action| match action {
-        Action::Answer { after, .. } => after,
+        Action::Answer { retry_after: after, .. } => after,
         _ => None,
     };
-    engine.take().into_iter().find_map(after).expect("the caller is told when to come back")
+    engine.take_actions().into_iter().find_map(after).expect("the caller is told when to come back")
 }
 
 /// Load: all servers of a service turn half of their requests away, however little they have to do. Each object that
--- a/crates/replay/src/world/mod.rs
+++ b/crates/replay/src/world/mod.rs
@@ -11,7 +11,7 @@
 use base::error::Kind;
 use base::hash;
 use base::time::Time;
-use dispatch::engine::{Extra, Limits, policy::Policy};
+use dispatch::engine::{Budgets, Limits, policy::Policy};
 use dispatch::{Action, Ending, Engine, Verdict};
 use steer::shift::Controller;
 use steer::view::View;
@@ -37,10 +37,15 @@
 /// Pause between two sends of a poisonous request.
 const POISON_PAUSE: Duration = Duration::from_secs(2);
 /// Limits of an engine, as in the daemon's defaults.
-const LIMITS: Limits = Limits { queued: 512, in_flight: 128, poison: Duration::from_mins(10), extra: Extra::DEFAULT };
+const LIMITS: Limits =
+    Limits { max_queued: 512, max_in_flight: 128, quarantine: Duration::from_mins(10), budgets: Budgets::DEFAULT };
 /// Limits of a plain policy: none that matter.
-const PLAIN: Limits =
-    Limits { queued: 1 << 20, in_flight: 1 << 20, poison: Duration::from_mins(10), extra: Extra::DEFAULT };
+const PLAIN: Limits = Limits {
+    max_queued: 1 << 20,
+    max_in_flight: 1 << 20,
+    quarantine: Duration::from_mins(10),
+    budgets: Budgets::DEFAULT,
+};
 
 #[derive(Debug, Clone, PartialEq)]
 enum Event {
@@ -225,7 +230,7 @@
 
     /// Carries out what an engine decided.
     fn settle(&mut self, entry: usize) {
-        let actions = self.engines[entry].take();
+        let actions = self.engines[entry].take_actions();
         if self.dead_regions.contains(&self.site.entries[entry].region) {
             return;
         }
@@ -248,7 +253,7 @@
                 Action::Answer { request, verdict, .. } => self.verdict(request as usize, verdict),
             }
         }
-        let wake = self.engines[entry].wake();
+        let wake = self.engines[entry].next_wakeup();
         if let Some(at) = wake.filter(|_| wake != self.wakes[entry]) {
             self.wakes[entry] = wake;
             self.plan(at, Event::Wake(entry));
--- a/crates/replay/src/world/news.rs
+++ b/crates/replay/src/world/news.rs
@@ -69,7 +69,7 @@
             let hosts = subset::hosts(hash::bytes(entry.name.as_bytes()), &daemons, &near);
             let spec = |(position, server): (usize, &Instance)| Spec {
                 region: site.region(&server.region).unwrap_or(0) as u16,
-                start: None,
+                slow_start: None,
                 id: position as u32,
                 service: site.services.iter().position(|service| *service == server.service).unwrap_or(0) as u16,
                 place: place(site, entry, server),
@@ -84,7 +84,7 @@
                     site.servers.iter().filter(|server| server.region == *region).map(|server| server.slots).sum();
                 let cap = site.policy.link_cap(&entry.region, region).unwrap_or(0.0);
                 let allowed = grant::allowance(slots, site.regions.len() - 1, cap, share);
-                let remote = Remote { limit: allowed.requests, bytes_per_second: allowed.bytes_per_second };
+                let remote = Remote { max_in_flight: allowed.requests, bytes_per_second: allowed.bytes_per_second };
                 self.engines[index].set_remote(position as u16, remote, now);
             }
             self.engines[index].set_backends(specs, now);
@@ -127,7 +127,7 @@
             let report = Report { load, draining, pace: None, at };
             for entry in 0..self.engines.len() {
                 if self.site.entries[entry].region == self.site.servers[index].region {
-                    self.engines[entry].report(index as u32, report, self.now);
+                    self.engines[entry].apply_report(index as u32, report, self.now);
                     self.settle(entry);
                 }
             }
--- a/crates/size/src/dispatching.rs
+++ b/crates/size/src/dispatching.rs
@@ -5,7 +5,7 @@
 use base::time::Time;
 use dispatch::backend::{Place, Spec};
 use dispatch::class;
-use dispatch::engine::{Arrival, Extra, Limits};
+use dispatch::engine::{Arrival, Budgets, Limits};
 use dispatch::{Action, Ending, Engine};
 
 use crate::probe::{line, nanos, resident};
@@ -20,7 +20,8 @@
 
 fn engine(servers: u32, affinity: bool) -> Engine {
     let spec = class::Spec { affinity, ..class::Spec::new(0, Duration::from_secs(1)) };
-    let limits = Limits { queued: 512, in_flight: 128, poison: Duration::from_mins(10), extra: Extra::DEFAULT };
+    let limits =
+        Limits { max_queued: 512, max_in_flight: 128, quarantine: Duration::from_mins(10), budgets: Budgets::DEFAULT };
     let mut engine = Engine::new(vec![spec], limits, 1);
     let server = |id| Spec {
         id,
@@ -30,7 +31,7 @@
         leaving: false,
         hosts: true,
         region: 0,
-        start: None,
+        slow_start: None,
     };
     engine.set_backends((0..servers).map(server).collect(), Time::from_millis(1));
     engine
@@ -61,7 +62,7 @@
         now = now + Duration::from_micros(300);
         let object = objects.map(|objects| base::hash::pair(next % objects, 1));
         engine.submit(Arrival { object, ..Arrival::new(next, 0, next, 100) }, now);
-        for action in engine.take() {
+        for action in engine.take_actions() {
             if let Action::Start { attempt, .. } = action {
                 live.push_back(attempt);
             }
@@ -69,7 +70,7 @@
         if live.len() > IN_FLIGHT.min(servers as usize / 2) {
             let attempt = live.pop_front().unwrap_or(0);
             engine.finish(attempt, Ending::Answered(1_000), now);
-            drop(engine.take());
+            drop(engine.take_actions());
         }
     };
     (0..WARM_UP).for_each(&mut one);
