--- a/crates/daemon/examples/prepare.rs
+++ b/crates/daemon/examples/prepare.rs
@@ -10,7 +10,7 @@
 use daemon::context::{Context, lock};
 use daemon::list::Item;
 use daemon::{policies, view};
-use fleet::Copy;
+use fleet::Document;
 use fleet::message::{Record, Snapshot, State as Standing};
 
 const ROUNDS: u32 = 50;
@@ -37,11 +37,11 @@
     Record {
         name: format!("front-{number}"),
         incarnation: 1,
-        beat: 1,
+        refutations: 1,
         state: Standing::Alive,
-        peers: format!("10.9.{}.{}:7200", number / 250, number % 250),
+        peer_address: format!("10.9.{}.{}:7200", number / 250, number % 250),
         domain: format!("d{}", number % REGIONS),
-        callers: format!("10.9.{}.{}:7000", number / 250, number % 250),
+        caller_address: format!("10.9.{}.{}:7000", number / 250, number % 250),
     }
 }
 
@@ -77,8 +77,9 @@
         lock(&context.list).take(items, context.now());
         let now = context.now();
         let records = (0..daemons).map(record).collect();
-        lock(&context.roster).adopt(&Snapshot { records, policy: None, leaving: Vec::new(), copy: false }, now);
-        policies::offer(&context, Copy::new(1, policy()), "example");
+        lock(&context.roster)
+            .merge_snapshot(&Snapshot { records, policy: None, leaving: Vec::new(), has_mirror: false }, now);
+        policies::offer(&context, Document::new(1, policy()), "example");
         let unchanged = time(|_| view::refresh(&context));
         let changed = time(|round| {
             let mut items = lock(&context.list).items.to_vec();
--- a/crates/daemon/src/backends/probe.rs
+++ b/crates/daemon/src/backends/probe.rs
@@ -6,7 +6,7 @@
 
 use base::instance::Instance;
 use dispatch::backend::{BackendId, Report};
-use fleet::load::Seen;
+use fleet::load::Sample;
 use serde::Deserialize;
 
 use crate::Context;
@@ -113,14 +113,14 @@
 /// Notes the load of each failure domain that was read.
 fn sum_up(context: &Context, loads: &[(String, u32, u32)]) {
     let now = context.now();
-    let mut sums: std::collections::BTreeMap<&str, Seen> = std::collections::BTreeMap::new();
+    let mut sums: std::collections::BTreeMap<&str, Sample> = std::collections::BTreeMap::new();
     for (domain, busy, slots) in loads {
-        let sum = sums.entry(domain).or_insert(Seen { busy: 0, slots: 0, at: now });
+        let sum = sums.entry(domain).or_insert(Sample { busy: 0, slots: 0, at: now });
         sum.busy += busy;
         sum.slots += slots;
     }
     let mut roster = lock(&context.roster);
     for (domain, seen) in sums {
-        roster.loads_mut().note(domain, seen);
+        roster.loads_mut().record(domain, seen);
     }
 }
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use h1::head;
 use http::header::{CONTENT_LENGTH, EXPECT, HOST, HeaderMap, HeaderName};
-use ledger::table::Step;
+use ledger::table::Admission;
 
 use super::connection::Incoming;
 use super::reply::Reply;
@@ -95,12 +95,12 @@
     let order = if keyed { Some(order(context, &head.headers, fingerprint)?) } else { None };
     if let Some(order) = &order {
         match orders::begin(context, order) {
-            Step::Claim | Step::Run => {}
-            Step::Replay(whole) => {
+            Admission::Claim | Admission::Run => {}
+            Admission::Replay(whole) => {
                 context.metrics.replays.inc();
                 return Ok(whole);
             }
-            Step::Refuse(kind) => return Err(kind.into()),
+            Admission::Refuse(kind) => return Err(kind.into()),
         }
     }
     let submission = submission(context, class, fingerprint, &head.headers);
--- a/crates/daemon/src/callers/lookup.rs
+++ b/crates/daemon/src/callers/lookup.rs
@@ -69,7 +69,7 @@
     let steering = context.steering();
     let region = context.policy().region(region);
     let most = context.settings.callers.answer_entries as usize;
-    let found = steer::near::look_up(&steering.view, region, most);
+    let found = steer::by_region::look_up(&steering.view, region, most);
     let addresses: Vec<&str> =
         found.iter().filter_map(|position| Some(steering.view.entry(*position)?.address.as_str())).collect();
     if addresses.is_empty() {
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -12,12 +12,12 @@
 use config::policy::Policy;
 use dispatch::Engine;
 use dispatch::engine::{Extra, Limits};
-use fleet::copy::Holder;
 use fleet::message::{Record, State};
-use fleet::roster::{Roster, Times};
+use fleet::replica::Replica;
+use fleet::roster::{Roster, Timeouts};
 use h1::Room;
 use ledger::Ledger;
-use steer::grant::Keeper;
+use steer::grant::Manager;
 use steer::shift::Controller;
 
 use crate::adapter::{Adapter, Catalog};
@@ -78,7 +78,7 @@
     /// What is known of backend servers beside the list of instances.
     pub servers: Mutex<Servers>,
     /// The policy in force, with its copy for peers.
-    pub holder: Mutex<Holder>,
+    pub holder: Mutex<Replica>,
     /// The policy in force, parsed.
     pub in_force: RwLock<Arc<InForce>>,
     /// Membership and loads.
@@ -86,7 +86,7 @@
     /// Bounds how often peers are told at once of losses and of leaving servers.
     pub telling: Mutex<Bucket>,
     /// Shares of links and other regions.
-    pub keeper: Mutex<Keeper>,
+    pub keeper: Mutex<Manager>,
     /// Shifts of callers between regions.
     pub controller: Mutex<Controller>,
     /// What look-ups read.
@@ -125,13 +125,13 @@
         let record = Record {
             name: settings.instance.clone(),
             incarnation: clock::calendar_ms(),
-            beat: 0,
+            refutations: 0,
             state: State::Alive,
-            peers: settings.fleet.address.clone(),
+            peer_address: settings.fleet.address.clone(),
             domain: settings.domain.clone(),
-            callers: adapter.catalog.map_or_else(String::new, |_| settings.callers.address.clone()),
+            caller_address: adapter.catalog.map_or_else(String::new, |_| settings.callers.address.clone()),
         };
-        let times = Times { suspect: Duration::from_millis(settings.fleet.suspect_ms) };
+        let timeouts = Timeouts { suspect: Duration::from_millis(settings.fleet.suspect_ms) };
         let timeout = Duration::from_millis(settings.platform.timeout_ms);
         let limits = Limits {
             queued: settings.dispatch.max_queued as usize,
@@ -140,9 +140,9 @@
             extra: Extra::DEFAULT,
         };
         let keys = ledger::table::Limits {
-            kept: Duration::from_secs(settings.platform.claim_kept_s),
-            session_keys: SESSION_KEYS,
-            answer_bytes: settings.dispatch.kept_answers_bytes,
+            retention: Duration::from_secs(settings.platform.claim_kept_s),
+            max_session_keys: SESSION_KEYS,
+            max_answer_bytes: settings.dispatch.kept_answers_bytes,
         };
         let kept = Duration::from_millis(settings.callers.answer_kept_ms);
         let address = &settings.platform.address;
@@ -159,11 +159,11 @@
             incarnation,
             runtime,
             store,
-            holder: Mutex::new(Holder::new()),
+            holder: Mutex::new(Replica::new()),
             in_force: RwLock::new(Arc::new(InForce::new(0, Policy::default()))),
-            roster: Mutex::new(Roster::new(record, times, incarnation)),
+            roster: Mutex::new(Roster::new(record, timeouts, incarnation)),
             telling: Mutex::new(peers::telling(now)),
-            keeper: Mutex::new(Keeper::new()),
+            keeper: Mutex::new(Manager::new()),
             controller: Mutex::new(Controller::new(0, kept, now)),
             steering: RwLock::new(Arc::new(Steering::default())),
             preparing: Mutex::new(Preparing::default()),
--- a/crates/daemon/src/grants.rs
+++ b/crates/daemon/src/grants.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use steer::grant::{Keeper, LEASE, Plan, SLOTS};
+use steer::grant::{LEASE_TTL, Manager, Plan, SLOTS};
 use store::{Change, Commit, Entry, Lease, Store as _, key};
 
 use crate::Context;
@@ -29,7 +29,7 @@
     fn close(&mut self) {
         self.running.stop();
         let held: Vec<u32> = lock(&self.context.keeper).held().collect();
-        lock(&self.context.keeper).lost();
+        lock(&self.context.keeper).record_lease_lost();
         let lease = lock(&self.lease).take();
         if let Some(lease) = lease {
             give_back(&self.context, lease, &held);
@@ -60,20 +60,20 @@
     let plan = lock(&context.keeper).plan(live, now);
     let lease = *lock(held_lease);
     match (plan, lease) {
-        (Plan::Rest, _) => {}
-        (Plan::Lease, _) | (_, None) => {
-            if let Ok(lease) = context.store.grant(LEASE) {
+        (Plan::Wait, _) => {}
+        (Plan::CreateLease, _) | (_, None) => {
+            if let Ok(lease) = context.store.grant(LEASE_TTL) {
                 *lock(held_lease) = Some(lease);
-                lock(&context.keeper).leased(now);
+                lock(&context.keeper).record_lease(now);
             }
         }
-        (Plan::Renew, Some(lease)) => match context.store.renew(lease) {
-            Ok(true) => lock(&context.keeper).leased(now),
-            Ok(false) => lock(&context.keeper).lost(),
+        (Plan::RenewLease, Some(lease)) => match context.store.renew(lease) {
+            Ok(true) => lock(&context.keeper).record_lease(now),
+            Ok(false) => lock(&context.keeper).record_lease_lost(),
             Err(error) => log::debug!("grants: renewal skipped reason={:?}", error.to_string()),
         },
-        (Plan::Take(count), Some(lease)) => take(context, lease, count),
-        (Plan::Drop(slots), Some(_)) => drop_slots(context, &slots),
+        (Plan::Acquire(count), Some(lease)) => take(context, lease, count),
+        (Plan::Release(slots), Some(_)) => drop_slots(context, &slots),
     }
     context.metrics.grants.set(lock(&context.keeper).held().count() as i64);
 }
@@ -84,7 +84,7 @@
     let region = in_force.policy.regions.get(&context.settings.region);
     let domains = region.map(|region| region.domains.as_slice()).unwrap_or_default();
     let roster = lock(&context.roster);
-    domains.iter().map(|domain| roster.alive_in(domain).count()).sum::<usize>().max(1)
+    domains.iter().map(|domain| roster.live_members_in(domain).count()).sum::<usize>().max(1)
 }
 
 /// Our mark on a slot; it names the lease, so that slots of an earlier lease are not taken for ours.
@@ -115,14 +115,14 @@
     let changes: Vec<Change> = wanted.iter().map(set).collect();
     if changes.is_empty() {
         let now = context.now();
-        return lock(&context.keeper).retry(now);
+        return lock(&context.keeper).retry_soon(now);
     }
     let commit = context.store.commit(&changes);
     let now = context.now();
     let mut keeper = lock(&context.keeper);
     match commit {
-        Ok(Commit::Done(revision)) => wanted.iter().for_each(|(number, _)| keeper.took(*number, revision)),
-        Ok(Commit::Conflict) => keeper.retry(now),
+        Ok(Commit::Done(revision)) => wanted.iter().for_each(|(number, _)| keeper.record_acquired(*number, revision)),
+        Ok(Commit::Conflict) => keeper.retry_soon(now),
         Err(error) => log::debug!("grants: slots not taken reason={:?}", error.to_string()),
     }
 }
@@ -131,7 +131,7 @@
 fn drop_slots(context: &Context, slots: &[(u32, u64)]) {
     let mut keeper = lock(&context.keeper);
     for (number, _) in slots {
-        Keeper::dropped(&mut keeper, *number);
+        Manager::record_released(&mut keeper, *number);
     }
     drop(keeper);
     let region = &context.settings.region;
--- a/crates/daemon/src/lister.rs
+++ b/crates/daemon/src/lister.rs
@@ -56,6 +56,6 @@
         log::warn!("list: empty list skipped known={}", list.items.len());
         return;
     }
-    lock(&context.roster).list(&instances);
+    lock(&context.roster).set_listed(&instances);
     list.take(instances.into_iter().map(|instance| Item::new(instance, Time::ZERO)).collect(), now);
 }
--- a/crates/daemon/src/mirror/check.rs
+++ b/crates/daemon/src/mirror/check.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use base::time::Time;
-use fleet::source::PATIENCE;
+use fleet::source::MAX_STALENESS;
 use store::{Error, Liveness};
 
 use super::{Turn, Upstream, gathering, note_failure, publish, store as direct, upstream};
@@ -54,7 +54,7 @@
                 stalled(&context, known);
             }
         }
-        let due = now >= next && (watches || age.is_none_or(|age| age >= PATIENCE));
+        let due = now >= next && (watches || age.is_none_or(|age| age >= MAX_STALENESS));
         if !due {
             continue;
         }
@@ -76,7 +76,7 @@
         return next.since(now).min(catching_up);
     }
     let age = lock(&context.mirror).age(now).unwrap_or_default();
-    PATIENCE.saturating_sub(age).max(next.since(now)).min(LOOK)
+    MAX_STALENESS.saturating_sub(age).max(next.since(now)).min(LOOK)
 }
 
 /// The watch hears nothing: it is asked anew, over a new connection.
--- a/crates/daemon/src/mirror/follow.rs
+++ b/crates/daemon/src/mirror/follow.rs
@@ -59,7 +59,7 @@
                 Err(Error::Unreachable(reason))
             }
         };
-        lock(&context.learning.avoided).note(name, now);
+        lock(&context.learning.avoided).record_failure(name, now);
         result
     }
 
--- a/crates/daemon/src/mirror/mod.rs
+++ b/crates/daemon/src/mirror/mod.rs
@@ -14,7 +14,7 @@
 
 use ::store::Error;
 use base::time::Time;
-use fleet::source::{Avoided, PATIENCE, Source};
+use fleet::source::{Backoff, MAX_STALENESS, Source};
 use tokio::sync::{Notify, watch};
 
 pub use self::follow::{LONGEST_WAIT, changes};
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Learning {
     /// Sources that were found silent or stale.
-    avoided: std::sync::Mutex<Avoided>,
+    avoided: std::sync::Mutex<Backoff>,
     /// Told when the copy has learnt something, or is known to hold all again.
     news: watch::Sender<()>,
     /// Told when the source should be chosen anew.
@@ -126,14 +126,16 @@
     let avoided = lock(&context.learning.avoided);
     let in_region = |domain: &str| settings.domains.get(domain) == Some(&settings.region);
     let region: BTreeMap<&str, &str> = roster
-        .answering()
+        .responsive_members()
         .filter(|(name, domain)| *name == settings.instance || in_region(domain))
-        .filter(|(name, _)| all || *name == settings.instance || !avoided.holds(name, now))
+        .filter(|(name, _)| all || *name == settings.instance || !avoided.is_active(name, now))
         .collect();
     let source = fleet::source::choose(&settings.instance, &region);
     match source {
         Source::Store => Upstream::Store,
-        Source::First(name) | Source::Near(name) => Upstream::Member { name: name.to_owned(), stale: source.stale() },
+        Source::RegionLeader(name) | Source::DomainLeader(name) => {
+            Upstream::Member { name: name.to_owned(), stale: source.stale_after() }
+        }
     }
 }
 
@@ -222,13 +224,13 @@
     let mut members: Vec<(bool, String)> = {
         let roster = lock(&context.roster);
         let far = |domain: &str| context.settings.domains.get(domain) != Some(&context.settings.region);
-        let others = roster.answering().filter(|(name, _)| *name != context.settings.instance);
+        let others = roster.responsive_members().filter(|(name, _)| *name != context.settings.instance);
         others.map(|(name, domain)| (far(domain), name.to_owned())).collect()
     };
     fastrand::Rng::with_seed(context.incarnation).shuffle(&mut members);
     members.sort_by_key(|(far, _)| *far);
     for (_, name) in members.into_iter().take(ASKED) {
-        if following.turn(context, &name, PATIENCE).await.is_ok_and(|turn| matches!(turn, Turn::Changed)) {
+        if following.turn(context, &name, MAX_STALENESS).await.is_ok_and(|turn| matches!(turn, Turn::Changed)) {
             return true;
         }
     }
--- a/crates/daemon/src/mirror/publish.rs
+++ b/crates/daemon/src/mirror/publish.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fleet::Copy;
+use fleet::Document;
 
 use crate::adapter::{Catalog, Revised};
 use crate::context::lock;
@@ -42,7 +42,7 @@
     let Revised { revision, policy, passed_over } = revised;
     match policy.to_text() {
         Ok(text) => {
-            if policies::offer(context, Copy::new(revision, text), "store") {
+            if policies::offer(context, Document::new(revision, text), "store") {
                 peers::tell_revision(context);
             }
         }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -172,7 +172,7 @@
     let in_force = context.policy();
     let steering = context.steering();
     let roster = lock(&context.roster);
-    let words: BTreeMap<&str, Option<Duration>> = roster.words(now).collect();
+    let words: BTreeMap<&str, Option<Duration>> = roster.silence(now).collect();
     let members = roster.records().into_iter().map(|record| Member {
         silent_s: words.get(record.name.as_str()).copied().flatten().map(|age| age.as_secs_f64()),
         name: record.name,
@@ -184,7 +184,7 @@
     drop(words);
     drop(roster);
     let regions = in_force.regions.len() as u16;
-    let row = |from: u16| (0..regions).map(|to| steering.shares.part(from, to)).collect();
+    let row = |from: u16| (0..regions).map(|to| steering.shares.share(from, to)).collect();
     let name = |id: u32| steering.backends.get(&id).map_or_else(|| id.to_string(), |known| known.name.clone());
     let backends = context.driver.look(|engine| {
         let backend = |server: &dispatch::backend::Backend| Backend {
@@ -247,7 +247,7 @@
     let roster = lock(&context.roster);
     for seconds in SILENCES_S {
         let limit = Duration::from_secs(seconds);
-        let silent = roster.words(now).filter(|(_, age)| age.is_none_or(|age| age > limit)).count();
+        let silent = roster.silence(now).filter(|(_, age)| age.is_none_or(|age| age > limit)).count();
         context.metrics.silent_peers.with_label_values(&[&seconds.to_string()]).set(silent as i64);
     }
 }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -6,9 +6,9 @@
 use base::error::Kind;
 use base::hash;
 use base::time::Time;
+use ledger::acquire::{self, Acquisition, Action, Call, Reply, Status};
 use ledger::claim::Claim;
-use ledger::make::{Call, Held, Maker, Progress, Reply, Word};
-use ledger::table::Step;
+use ledger::table::Admission;
 use store::{Change, Commit, Error, Lease, Store as _, key};
 
 use crate::Context;
@@ -50,7 +50,7 @@
 }
 
 /// What to do with an order that came.
-pub fn begin(context: &Context, order: &Order) -> Step<Arc<Whole>> {
+pub fn begin(context: &Context, order: &Order) -> Admission<Arc<Whole>> {
     let now = context.now();
     lock(&context.ledger).begin(order.key, order.fingerprint, order.session, now)
 }
@@ -60,20 +60,20 @@
     if order.session || lock(&order.revision).is_some() {
         return Ok(());
     }
-    lock(&context.ledger).claiming(order.key);
+    lock(&context.ledger).record_claim_sent(order.key);
     let held = make(context, order, deadline);
-    if let Held::Ours(revision) = &held {
+    if let acquire::Outcome::Acquired(revision) = &held {
         *lock(&order.revision) = Some(*revision);
     }
     let now = context.now();
-    match lock(&context.ledger).claimed(order.key, held, now) {
-        Step::Run => Ok(()),
-        Step::Refuse(kind) => Err(kind),
-        Step::Replay(whole) => {
+    match lock(&context.ledger).finish_claim(order.key, held, now) {
+        Admission::Run => Ok(()),
+        Admission::Refuse(kind) => Err(kind),
+        Admission::Replay(whole) => {
             *lock(&order.earlier) = Some(whole);
             Err(Kind::AlreadyClaimed)
         }
-        Step::Claim => Err(Kind::ClaimUnavailable),
+        Admission::Claim => Err(Kind::ClaimUnavailable),
     }
 }
 
@@ -86,9 +86,9 @@
     let now = context.now();
     let mut ledger = lock(&context.ledger);
     match &outcome {
-        Ok(whole) => ledger.ran(order.key, Arc::clone(whole), whole.bytes(), now),
+        Ok(whole) => ledger.record_answer(order.key, Arc::clone(whole), whole.bytes(), now),
         Err(refusal) => {
-            let release = ledger.failed(order.key, refusal.kind, now);
+            let release = ledger.record_failure(order.key, refusal.kind, now);
             drop(ledger);
             if release {
                 self::release(context, order);
@@ -99,24 +99,24 @@
 }
 
 /// What this daemon can tell a peer of a key.
-pub fn word(context: &Context, key: u128) -> Word<Arc<Whole>> {
+pub fn word(context: &Context, key: u128) -> Status<Arc<Whole>> {
     let now = context.now();
-    lock(&context.ledger).word(key, now)
+    lock(&context.ledger).status(key, now)
 }
 
 /// Makes the claim at the store, asking the claimant if there is another.
-fn make(context: &Arc<Context>, order: &Order, deadline: Time) -> Held<Arc<Whole>> {
+fn make(context: &Arc<Context>, order: &Order, deadline: Time) -> acquire::Outcome<Arc<Whole>> {
     let give_up = deadline - Duration::from_millis(CLAIM_MARGIN_MS);
-    let unsent = lock(&context.ledger).unsent(order.key);
-    let maker = Maker::new(context.incarnation, order.fingerprint, unsent, give_up);
-    let mut progress = maker.first();
+    let unsent = lock(&context.ledger).is_unsent(order.key);
+    let maker = Acquisition::new(context.incarnation, order.fingerprint, unsent, give_up);
+    let mut progress = maker.start();
     loop {
         match progress {
-            Progress::Call(call) => {
+            Action::Call(call) => {
                 let reply = perform(context, order, call);
-                progress = maker.next(reply, context.now());
+                progress = maker.handle(reply, context.now());
             }
-            Progress::End(held) => return held,
+            Action::Finish(held) => return held,
         }
     }
 }
@@ -127,8 +127,8 @@
         Call::Write(expect) => write(context, order, &name, expect),
         Call::Read => read(context, &name),
         Call::Ask(claim, revision) => {
-            let word = peers::client::word(context, &claim.peers, claim.incarnation, order.key);
-            return Reply::Said(word, revision);
+            let word = peers::client::word(context, &claim.peer_address, claim.incarnation, order.key);
+            return Reply::Status(word, revision);
         }
     };
     let failed = matches!(reply, Reply::Unsent | Reply::Lost);
@@ -144,7 +144,7 @@
     let claim = Claim {
         incarnation: context.incarnation,
         fingerprint: order.fingerprint,
-        peers: context.settings.fleet.address.clone(),
+        peer_address: context.settings.fleet.address.clone(),
     };
     let change = Change::set(name, expect, claim.to_bytes()).with_lease(lease);
     match context.store.commit(&[change]) {
@@ -192,7 +192,7 @@
     runtime.spawn_blocking(move || {
         let deleted = context.store.commit(&[Change::delete(&key::claim(key), revision)]);
         if matches!(deleted, Ok(Commit::Done(_))) {
-            lock(&context.ledger).released(key);
+            lock(&context.ledger).record_release(key);
         }
     });
 }
@@ -201,8 +201,8 @@
 pub fn withdraw(context: &Context, order: &Order) {
     let now = context.now();
     let mut ledger = lock(&context.ledger);
-    if ledger.unsent(order.key) {
-        let step = ledger.claimed(order.key, Held::Silent, now);
+    if ledger.is_unsent(order.key) {
+        let step = ledger.finish_claim(order.key, acquire::Outcome::Unavailable, now);
         log::debug!("orders: claim withdrawn step={step:?}");
     }
 }
--- a/crates/daemon/src/peers/api.rs
+++ b/crates/daemon/src/peers/api.rs
@@ -1,6 +1,6 @@
 //! The calls between daemons.
 
-use fleet::Copy;
+use fleet::Document;
 use fleet::message::{Message, Snapshot};
 use jsonrpsee::proc_macros::rpc;
 use serde::{Deserialize, Serialize};
@@ -30,7 +30,7 @@
 
     /// The policy in force if its revision is above `after`.
     #[method(name = "policy")]
-    async fn policy(&self, after: u64) -> Result<Option<Copy>, jsonrpsee::types::ErrorObjectOwned>;
+    async fn policy(&self, after: u64) -> Result<Option<Document>, jsonrpsee::types::ErrorObjectOwned>;
 
     /// All that a starting daemon needs.
     #[method(name = "snapshot")]
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -30,8 +30,8 @@
 }
 
 /// What the daemon at `address` says of a key that its incarnation `incarnation` claimed. Blocks.
-pub fn word(context: &Arc<Context>, address: &str, incarnation: u64, key: u128) -> ledger::make::Word<Arc<Whole>> {
-    use ledger::make::Word as Known;
+pub fn word(context: &Arc<Context>, address: &str, incarnation: u64, key: u128) -> ledger::acquire::Status<Arc<Whole>> {
+    use ledger::acquire::Status as Known;
     let Some(client) = client(context, address) else {
         return Known::Unknown;
     };
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -72,8 +72,8 @@
         }
     }
     super::spread_leaving(context, &message.leaving);
-    if lock(&context.holder).wants(message.revision) {
-        let address = message.from.peers.clone();
+    if lock(&context.holder).needs(message.revision) {
+        let address = message.from.peer_address.clone();
         let context = Arc::clone(context);
         let runtime = context.runtime.clone();
         runtime.spawn(async move { fetch(&context, &address).await });
@@ -95,7 +95,7 @@
             context.metrics.exchanges.with_label_values(&["failed"]).inc();
             log::debug!("peers: exchange failed peer={name} reason={:?}", error.to_string());
             let now = context.now();
-            lock(&context.roster).failed(name, now);
+            lock(&context.roster).record_failure(name, now);
         }
     }
 }
@@ -129,7 +129,7 @@
         };
         match client.snapshot().await {
             Ok(snapshot) => {
-                let starting = !snapshot.copy && context.settings.fleet.first_start;
+                let starting = !snapshot.has_mirror && context.settings.fleet.first_start;
                 adopt(context, snapshot, seed);
                 if starting && context.catalog.is_some() {
                     meet(context, seed).await;
@@ -148,7 +148,7 @@
 /// Takes in what a peer knows.
 fn adopt(context: &Arc<Context>, snapshot: Snapshot, seed: &str) {
     let now = context.now();
-    lock(&context.roster).adopt(&snapshot, now);
+    lock(&context.roster).merge_snapshot(&snapshot, now);
     for server in &snapshot.leaving {
         leaving::note(context, *server);
     }
@@ -180,7 +180,7 @@
         let target = {
             let mut roster = lock(&context.roster);
             roster.tick(now);
-            roster.target(now)
+            roster.next_target(now)
         };
         if let Some((name, address)) = target {
             with(context, &name, &address, message(context)).await;
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -39,8 +39,8 @@
     let poison: Vec<(u64, u64)> =
         context.driver.look(|engine| fingerprints.flat_map(|fingerprint| engine.poison(fingerprint, now)).collect());
     let mut roster = lock(&context.roster);
-    losses.iter().for_each(|loss| roster.losses_mut().spread(*loss, now));
-    poison.iter().for_each(|loss| roster.losses_mut().spread_lasting(*loss, now));
+    losses.iter().for_each(|loss| roster.losses_mut().add(*loss, now));
+    poison.iter().for_each(|loss| roster.losses_mut().add_persistent(*loss, now));
     !poison.is_empty()
 }
 
@@ -52,8 +52,8 @@
         return;
     }
     let mut roster = lock(&context.roster);
-    let chosen = roster.some(context.settings.fleet.fanout as usize);
-    let messages: Vec<Message> = chosen.iter().map(|_| roster.urgent(0, now)).collect();
+    let chosen = roster.random_members(context.settings.fleet.fanout as usize);
+    let messages: Vec<Message> = chosen.iter().map(|_| roster.urgent_message(0, now)).collect();
     drop(roster);
     for ((name, address), message) in chosen.into_iter().zip(messages) {
         send(context, name, address, message);
@@ -68,7 +68,7 @@
         return;
     }
     let mut roster = lock(&context.roster);
-    news.iter().for_each(|server| roster.leaving_mut().spread(*server, now));
+    news.iter().for_each(|server| roster.leaving_mut().add(*server, now));
     drop(roster);
     tell_urgent(context);
 }
@@ -79,7 +79,7 @@
 }
 
 fn tell(context: &Arc<Context>, most: usize) {
-    let chosen = lock(&context.roster).some(most);
+    let chosen = lock(&context.roster).random_members(most);
     for (name, address) in chosen {
         send(context, name, address, exchange::message(context));
     }
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fleet::Copy;
+use fleet::Document;
 use fleet::message::{Message, Snapshot};
 use jsonrpsee::core::async_trait;
 use jsonrpsee::server::{ServerConfig, ServerHandle};
@@ -38,18 +38,18 @@
         Ok(exchange::answer(&self.context, &message))
     }
 
-    async fn policy(&self, after: u64) -> Result<Option<Copy>, ErrorObjectOwned> {
+    async fn policy(&self, after: u64) -> Result<Option<Document>, ErrorObjectOwned> {
         let holder = lock(&self.context.holder);
-        Ok(holder.copy().filter(|copy| copy.revision > after).cloned())
+        Ok(holder.document().filter(|copy| copy.revision > after).cloned())
     }
 
     async fn snapshot(&self) -> Result<Snapshot, ErrorObjectOwned> {
         let records = lock(&self.context.roster).records();
-        let policy = lock(&self.context.holder).copy().cloned();
+        let policy = lock(&self.context.holder).document().cloned();
         let now = self.context.now();
         let leaving = self.context.driver.look(|engine| engine.leaving(now).collect());
-        let copy = lock(&self.context.mirror).revision() > 0;
-        Ok(Snapshot { records, policy, leaving, copy })
+        let has_mirror = lock(&self.context.mirror).revision() > 0;
+        Ok(Snapshot { records, policy, leaving, has_mirror })
     }
 
     async fn changes(&self, after: u64, from: String, wait_ms: u64) -> Result<Option<Changes>, ErrorObjectOwned> {
@@ -62,10 +62,10 @@
             return Ok(Word::Unknown);
         };
         Ok(match orders::word(&self.context, key) {
-            ledger::make::Word::Ran(whole) => Word::Ran(whole.as_ref().clone().into()),
-            ledger::make::Word::Running => Word::Running,
-            ledger::make::Word::NeverRun => Word::NeverRun,
-            ledger::make::Word::Unknown => Word::Unknown,
+            ledger::acquire::Status::Ran(whole) => Word::Ran(whole.as_ref().clone().into()),
+            ledger::acquire::Status::Running => Word::Running,
+            ledger::acquire::Status::NeverRun => Word::NeverRun,
+            ledger::acquire::Status::Unknown => Word::Unknown,
         })
     }
 }
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -8,7 +8,7 @@
 use config::policy::{Class, Policy};
 use dispatch::class;
 use dispatch::split::Part;
-use fleet::Copy;
+use fleet::Document;
 
 use crate::context::lock;
 use crate::{Context, view};
@@ -90,10 +90,10 @@
 }
 
 /// Takes a copy of the policy from the store or a peer; says whether it is now in force.
-pub fn offer(context: &Arc<Context>, copy: Copy, source: &str) -> bool {
+pub fn offer(context: &Arc<Context>, copy: Document, source: &str) -> bool {
     let revision = copy.revision;
     let mut holder = lock(&context.holder);
-    match holder.offer(copy) {
+    match holder.apply(copy) {
         Ok(Some(policy)) => {
             put(context, revision, policy);
             log::info!("policy: in force revision={revision} source={source}");
--- a/crates/daemon/src/reader.rs
+++ b/crates/daemon/src/reader.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fleet::Copy;
+use fleet::Document;
 use store::{Store as _, key};
 
 use crate::Context;
@@ -49,7 +49,7 @@
         Ok(Some(entry)) => {
             context.store_seen.store(context.now().as_micros(), Ordering::Relaxed);
             let text = String::from_utf8_lossy(&entry.value).into_owned();
-            if policies::offer(context, Copy::new(entry.revision, text), "store") {
+            if policies::offer(context, Document::new(entry.revision, text), "store") {
                 peers::tell_revision(context);
             }
         }
--- a/crates/daemon/src/view/entries.rs
+++ b/crates/daemon/src/view/entries.rs
@@ -24,8 +24,8 @@
             service: String::new(),
             region,
             domain: record.domain,
-            address: record.callers,
-            peers: record.peers,
+            address: record.caller_address,
+            peers: record.peer_address,
             operators: String::new(),
             slots: 0,
             connections: 0,
@@ -33,7 +33,7 @@
             state: Listed::Live,
         })
     };
-    let told = roster.records().into_iter().filter(|record| !record.callers.is_empty());
+    let told = roster.records().into_iter().filter(|record| !record.caller_address.is_empty());
     told.filter_map(instance).collect()
 }
 
@@ -90,9 +90,9 @@
     let policy = &in_force.policy;
     let load = |name: &String| {
         let seen = policy.regions[name].domains.iter().filter_map(|domain| roster.loads().get(domain));
-        let gone = in_force.region(name).is_some_and(|region| !view.has(region));
+        let down = in_force.region(name).is_some_and(|region| !view.has_entries(region));
         let drained = policy.region_drained(name);
-        let mut load = Load { busy: 0.0, slots: 0.0, at: Time::ZERO, drained, gone };
+        let mut load = Load { busy: 0.0, slots: 0.0, at: Time::ZERO, drained, down };
         for domain in seen {
             load.busy += f64::from(domain.busy);
             load.slots += f64::from(domain.slots);
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -106,7 +106,7 @@
     let steering = shift(context, in_force, now);
     context.pool.keep(|backend| steering.backends.contains_key(&backend), now);
     let remotes = remotes(context, &preparing.slots, in_force, now);
-    let extra = extra(context, lock(&context.roster).alive().count() + 1);
+    let extra = extra(context, lock(&context.roster).live_members().count() + 1);
     context.driver.with(context, |engine| {
         engine.set_extra(extra);
         for (region, remote) in remotes {
@@ -125,7 +125,7 @@
     let roster = lock(&context.roster).clone();
     let told = if context.catalog.is_some() { entries::members(&roster, in_force) } else { Vec::new() };
     let instances: Vec<&Instance> = items.iter().map(|item| &*item.instance).chain(&told).collect();
-    context.metrics.members.set(roster.alive().count() as i64 + 1);
+    context.metrics.members.set(roster.live_members().count() as i64 + 1);
     let before = context.steering();
     let standing = entries::entries(&instances, &roster, in_force, context);
     let view = entries::ranked(&before.view, standing, in_force.regions.len());
@@ -184,7 +184,7 @@
         let slots = slots.get(name).copied().unwrap_or(0);
         let cap = in_force.policy.link_cap(own, name).unwrap_or(0.0);
         let allowed = grant::allowance(slots, sources, cap, share);
-        Remote { limit: allowed.requests, bytes_per_second: allowed.bytes_per_second }
+        Remote { limit: allowed.max_requests, bytes_per_second: allowed.bytes_per_second }
     };
     let others = in_force.regions.iter().enumerate().filter(|(_, name)| *name != own);
     others.map(|(position, name)| (position as u16, remote(name))).collect()
--- a/crates/daemon/src/view/servers.rs
+++ b/crates/daemon/src/view/servers.rs
@@ -50,8 +50,8 @@
         let own = hash::bytes(context.settings.instance.as_bytes());
         let domains = in_force.policy.regions.get(&context.settings.region);
         let domains = domains.map(|region| region.domains.as_slice()).unwrap_or_default();
-        let region = hashed(own, domains.iter().flat_map(|domain| roster.alive_in(domain)));
-        let all = hashed(own, roster.alive());
+        let region = hashed(own, domains.iter().flat_map(|domain| roster.live_members_in(domain)));
+        let all = hashed(own, roster.live_members());
         let (starters, settled) = (context.settings.dispatch.starters as usize, settled(context));
         if (&self.region, &self.all, self.settled) != (&region, &all, settled) {
             *self = Self { own, region, all, starters, settled, dealt: BTreeMap::new() };
--- a/crates/daemon/tests/view.rs
+++ b/crates/daemon/tests/view.rs
@@ -13,7 +13,7 @@
 use daemon::{policies, view};
 use dispatch::engine::Arrival;
 use dispatch::{Action, Ending, Engine};
-use fleet::Copy;
+use fleet::Document;
 use fleet::message::{Record, Snapshot, State as Standing};
 use rstest::rstest;
 
@@ -52,9 +52,9 @@
 }
 
 /// The policy of a revision: the server `b0` is drained in each second one.
-fn policy(revision: u64) -> Copy {
+fn policy(revision: u64) -> Document {
     let drain = if drained(revision) { "[[drains]]\nscope = \"instance\"\nname = \"b0\"\n" } else { "" };
-    Copy::new(revision, format!("{POLICY}{drain}"))
+    Document::new(revision, format!("{POLICY}{drain}"))
 }
 
 const fn drained(revision: u64) -> bool {
@@ -88,9 +88,9 @@
 }
 
 /// The policy of a revision: its class and its service are new.
-fn growing(revision: u64) -> Copy {
+fn growing(revision: u64) -> Document {
     let class = POLICY.replace("classes.lookup", &format!("classes.c{revision}"));
-    Copy::new(revision, class.replace("\"s\"", &format!("\"s{revision}\"")))
+    Document::new(revision, class.replace("\"s\"", &format!("\"s{revision}\"")))
 }
 
 /// Sends a request and ends what it starts; says whether anything was started.
@@ -160,8 +160,10 @@
     assert_eq!((backends(&context), known), (8, 8), "a server left the list");
 
     let gone = Record { name: "e2".to_owned(), state: Standing::Left, ..lock(&context.roster).own().clone() };
-    lock(&context.roster)
-        .adopt(&Snapshot { records: vec![gone], policy: None, leaving: Vec::new(), copy: false }, context.now());
+    lock(&context.roster).merge_snapshot(
+        &Snapshot { records: vec![gone], policy: None, leaving: Vec::new(), has_mirror: false },
+        context.now(),
+    );
     view::refresh(&context);
     let steering = context.steering();
     let standing = steering.view.entries().iter().find(|entry| entry.name == "e2").map(|entry| entry.standing);
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -11,10 +11,10 @@
 
 /// News of one kind.
 #[derive(Debug, Clone)]
-pub struct Gossip<T>(Vec<News<T>>);
+pub struct Gossip<T>(Vec<Update<T>>);
 
 #[derive(Debug, Clone, Copy)]
-struct News<T> {
+struct Update<T> {
     what: T,
     until: Time,
     /// Messages that held it.
@@ -30,22 +30,22 @@
     }
 
     /// News to be passed on in a few messages.
-    pub fn spread(&mut self, what: T, now: Time) {
+    pub fn add(&mut self, what: T, now: Time) {
         if !self.0.iter().any(|known| known.what == what) {
-            self.0.push(News { what, until: now + SPREAD, sent: 0, lasting: false });
+            self.0.push(Update { what, until: now + SPREAD, sent: 0, lasting: false });
         }
     }
 
     /// News that all must hear of: it is in every message for a while.
-    pub fn spread_lasting(&mut self, what: T, now: Time) {
-        self.spread(what, now);
+    pub fn add_persistent(&mut self, what: T, now: Time) {
+        self.add(what, now);
         let known = self.0.iter_mut().filter(|known| known.what == what);
         known.for_each(|known| known.lasting = true);
     }
 
     /// What the next message tells, `most` at most: what all must hear of, then what was told least often, so that many
     /// that come at once are all told.
-    pub fn next(&mut self, most: usize, now: Time) -> Vec<T> {
+    pub fn next_batch(&mut self, most: usize, now: Time) -> Vec<T> {
         self.0.retain(|known| now < known.until && (known.lasting || known.sent < MESSAGES));
         self.0.sort_by_key(|known| (!known.lasting, known.sent));
         let told = self.0.iter_mut().take(most);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! All of it is pure: the daemon carries the messages.
 
-pub mod copy;
 pub mod gossip;
 pub mod load;
 pub mod message;
+pub mod replica;
 pub mod roster;
 pub mod source;
 pub mod target;
 
-pub use copy::Copy;
 pub use message::{Message, Record};
+pub use replica::Document;
 pub use roster::Roster;
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -9,7 +9,7 @@
 
 /// A load with the time at which it was true, by our clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct Sample {
     /// Requests running or waiting.
     pub busy: u32,
     /// Requests that can run at once.
@@ -21,7 +21,7 @@
 /// Loads by failure domain.
 #[derive(Debug, Clone, Default)]
 pub struct Loads {
-    seen: BTreeMap<String, Seen>,
+    seen: BTreeMap<String, Sample>,
     next: usize,
 }
 
@@ -32,7 +32,7 @@
     }
 
     /// Takes in a load unless a fresher one is known.
-    pub fn note(&mut self, domain: &str, load: Seen) {
+    pub fn record(&mut self, domain: &str, load: Sample) {
         let known = self.seen.get(domain);
         if known.is_none_or(|known| known.at < load.at) {
             self.seen.insert(domain.to_owned(), load);
@@ -42,16 +42,16 @@
     /// Takes in a load from a message that came at `now`.
     pub fn merge(&mut self, load: &Load, now: Time) {
         let at = now - Duration::from_millis(load.age_ms);
-        self.note(&load.domain, Seen { busy: load.busy, slots: load.slots, at });
+        self.record(&load.domain, Sample { busy: load.busy, slots: load.slots, at });
     }
 
     /// The load of a failure domain.
-    pub fn get(&self, domain: &str) -> Option<Seen> {
+    pub fn get(&self, domain: &str) -> Option<Sample> {
         self.seen.get(domain).copied()
     }
 
     /// The next `most` loads for a message, in turn.
-    pub fn next(&mut self, most: usize, now: Time) -> Vec<Load> {
+    pub fn next_batch(&mut self, most: usize, now: Time) -> Vec<Load> {
         let count = self.seen.len();
         if count == 0 {
             return Vec::new();
@@ -59,7 +59,7 @@
         let start = self.next % count;
         self.next = (start + most.min(count)) % count;
         let chosen = self.seen.iter().cycle().skip(start).take(most.min(count));
-        let load = |(domain, seen): (&String, &Seen)| Load {
+        let load = |(domain, seen): (&String, &Sample)| Load {
             domain: domain.clone(),
             busy: seen.busy,
             slots: seen.slots,
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -3,15 +3,15 @@
 use serde::{Deserialize, Serialize};
 
 /// Most member records in one message.
-pub const RECORDS: usize = 6;
+pub const MAX_RECORDS: usize = 6;
 /// Most load reports in one message.
-pub const LOADS: usize = 6;
+pub const MAX_LOADS: usize = 6;
 /// Most losses in one message.
-pub const LOSSES: usize = 16;
+pub const MAX_LOSSES: usize = 16;
 /// Most backend servers that leave in one message.
-pub const LEAVING: usize = 32;
+pub const MAX_LEAVING: usize = 32;
 
-/// What is believed of a member; later ones win at the same incarnation and beat.
+/// What is believed of a member; later ones win at the same incarnation and count of refutations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
     /// It answers.
@@ -39,25 +39,25 @@
     pub incarnation: u64,
     /// Raised by the member itself to contradict a suspicion.
     #[serde(rename = "b")]
-    pub beat: u32,
+    pub refutations: u32,
     /// What is believed.
     #[serde(rename = "s")]
     pub state: State,
     /// Where peers reach it, `IP:PORT`.
     #[serde(rename = "p")]
-    pub peers: String,
+    pub peer_address: String,
     /// Its failure domain.
     #[serde(rename = "d")]
     pub domain: String,
     /// Where callers reach it, `IP:PORT`; empty if only the list of instances tells.
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
-    pub callers: String,
+    pub caller_address: String,
 }
 
 impl Record {
     /// Whether this record says something newer of the same member than `other`.
-    pub fn beats(&self, other: &Self) -> bool {
-        (self.incarnation, self.beat, self.state) > (other.incarnation, other.beat, other.state)
+    pub fn supersedes(&self, other: &Self) -> bool {
+        (self.incarnation, self.refutations, self.state) > (other.incarnation, other.refutations, other.state)
     }
 }
 
@@ -115,11 +115,11 @@
     /// All members that the peer knows.
     pub records: Vec<Record>,
     /// The policy that the peer has in force.
-    pub policy: Option<super::Copy>,
+    pub policy: Option<super::Document>,
     /// Numbers of backend servers that said that they leave.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<u32>,
     /// Whether the peer has a copy of the platform's store; without one it has just started and knows few members.
-    #[serde(default)]
-    pub copy: bool,
+    #[serde(rename = "copy", default)]
+    pub has_mirror: bool,
 }
--- a/crates/fleet/src/copy.rs
+++ b/crates/fleet/src/replica.rs
@@ -20,25 +20,26 @@
 
 /// A policy's text with the store's revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Copy {
+pub struct Document {
     /// Revision of the policy in the store.
     pub revision: u64,
     /// Checksum of revision and text.
-    pub sum: u64,
+    #[serde(rename = "sum")]
+    pub checksum: u64,
     /// The policy as TOML.
     pub text: String,
 }
 
-impl Copy {
+impl Document {
     /// A copy of `text`, which the store holds at `revision`.
     pub fn new(revision: u64, text: String) -> Self {
-        let sum = sum(revision, &text);
-        Self { revision, sum, text }
+        let checksum = checksum(revision, &text);
+        Self { revision, checksum, text }
     }
 
     /// Checks the copy and parses the policy.
-    pub fn open(&self) -> Result<Policy> {
-        if self.sum != sum(self.revision, &self.text) {
+    pub fn parse(&self) -> Result<Policy> {
+        if self.checksum != checksum(self.revision, &self.text) {
             return Err(Error::Damaged(self.revision));
         }
         Ok(Policy::parse(&format!("policy revision {}", self.revision), &self.text)?)
@@ -47,12 +48,12 @@
 
 /// The policy in force in a daemon; its revision only rises.
 #[derive(Debug, Clone, Default)]
-pub struct Holder {
-    copy: Option<Copy>,
+pub struct Replica {
+    copy: Option<Document>,
     refused: u64,
 }
 
-impl Holder {
+impl Replica {
     /// A holder of nothing.
     pub fn new() -> Self {
         Self::default()
@@ -64,23 +65,23 @@
     }
 
     /// The copy in force.
-    pub const fn copy(&self) -> Option<&Copy> {
+    pub const fn document(&self) -> Option<&Document> {
         self.copy.as_ref()
     }
 
     /// Whether a copy of `revision` is worth fetching.
-    pub fn wants(&self, revision: u64) -> bool {
+    pub fn needs(&self, revision: u64) -> bool {
         revision > self.revision() && revision != self.refused
     }
 
     /// Takes a copy if it is whole, valid and newer; gives the policy if it is now in force.
     ///
     /// A copy that is refused changes nothing, and its revision is not fetched again.
-    pub fn offer(&mut self, copy: Copy) -> Result<Option<Policy>> {
-        if !self.wants(copy.revision) {
+    pub fn apply(&mut self, copy: Document) -> Result<Option<Policy>> {
+        if !self.needs(copy.revision) {
             return Ok(None);
         }
-        match copy.open() {
+        match copy.parse() {
             Ok(policy) => {
                 self.copy = Some(copy);
                 Ok(Some(policy))
@@ -94,6 +95,6 @@
     }
 }
 
-fn sum(revision: u64, text: &str) -> u64 {
+fn checksum(revision: u64, text: &str) -> u64 {
     hash::pair(hash::bytes(text.as_bytes()), revision)
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -11,7 +11,7 @@
 
 use crate::gossip::Gossip;
 use crate::load::Loads;
-use crate::message::{LEAVING, LOADS, LOSSES, Message, RECORDS, Record, Snapshot, State};
+use crate::message::{MAX_LEAVING, MAX_LOADS, MAX_LOSSES, MAX_RECORDS, Message, Record, Snapshot, State};
 use crate::target::Targets;
 
 /// One in so many exchanges goes to a member believed dead, so that a healed partition is noticed.
@@ -21,9 +21,9 @@
 /// How long the record of a dead or departed member is kept.
 const GRAVE: Duration = Duration::from_mins(10);
 
-/// Times of the membership protocol.
+/// Timeouts of the membership protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Times {
+pub struct Timeouts {
     /// From suspicion to removal.
     pub suspect: Duration,
 }
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone)]
 pub struct Roster {
     own: Record,
-    times: Times,
+    timeouts: Timeouts,
     members: BTreeMap<String, Member>,
     listed: BTreeMap<String, Instance>,
     targets: Targets,
@@ -57,10 +57,10 @@
 
 impl Roster {
     /// A roster that knows only its own daemon, `own`.
-    pub fn new(own: Record, times: Times, seed: u64) -> Self {
+    pub fn new(own: Record, timeouts: Timeouts, seed: u64) -> Self {
         Self {
             own,
-            times,
+            timeouts,
             members: BTreeMap::new(),
             listed: BTreeMap::new(),
             targets: Targets::new(seed),
@@ -102,7 +102,7 @@
     }
 
     /// Takes the platform's list.
-    pub fn list(&mut self, instances: &[Instance]) {
+    pub fn set_listed(&mut self, instances: &[Instance]) {
         let entries = instances.iter().filter(|instance| instance.role == Role::Entry);
         self.listed = entries.map(|instance| (instance.name.clone(), instance.clone())).collect();
     }
@@ -118,49 +118,49 @@
     }
 
     /// Who to speak with next, and where it is reached.
-    pub fn target(&mut self, now: Time) -> Option<(String, String)> {
+    pub fn next_target(&mut self, now: Time) -> Option<(String, String)> {
         self.bury(now);
-        let dead_too = self.targets.chance(DEAD_CHANCE);
+        let dead_too = self.targets.one_in(DEAD_CHANCE);
         let own = &self.own.name;
         let members = &self.members;
         let gone = |name: &str| members.get(name).is_some_and(|member| member.record.state >= State::Dead);
         let names = members.keys().chain(self.listed.keys().filter(|name| !members.contains_key(*name)));
         let allowed = |name: &str| name != own && (dead_too || !gone(name));
-        let name = self.targets.next(names, allowed)?;
+        let name = self.targets.next_allowed(names, allowed)?;
         let address = self.address(&name)?.to_owned();
         Some((name, address))
     }
 
     /// Up to `most` living members to tell at once, with where they are reached.
-    pub fn some(&mut self, most: usize) -> Vec<(String, String)> {
-        let alive: Vec<String> = self.alive().map(str::to_owned).collect();
-        let chosen = self.targets.some(alive, most);
+    pub fn random_members(&mut self, most: usize) -> Vec<(String, String)> {
+        let alive: Vec<String> = self.live_members().map(str::to_owned).collect();
+        let chosen = self.targets.sample(alive, most);
         chosen.into_iter().filter_map(|name| Some((name.clone(), self.address(&name)?.to_owned()))).collect()
     }
 
     /// Where peers reach the member `name`.
     pub fn address(&self, name: &str) -> Option<&str> {
-        let member = self.members.get(name).map(|member| member.record.peers.as_str());
+        let member = self.members.get(name).map(|member| member.record.peer_address.as_str());
         member.or_else(|| self.listed.get(name).map(|instance| instance.peers.as_str()))
     }
 
     /// The message for the next exchange; `revision` is that of the policy in force.
     pub fn message(&mut self, revision: u64, now: Time) -> Message {
         let records = self.news();
-        let loads = self.loads.next(LOADS, now);
-        Message { records, loads, ..self.urgent(revision, now) }
+        let loads = self.loads.next_batch(MAX_LOADS, now);
+        Message { records, loads, ..self.urgent_message(revision, now) }
     }
 
     /// A message that tells of losses and of servers that leave, and of nothing else.
-    pub fn urgent(&mut self, revision: u64, now: Time) -> Message {
-        let losses = self.losses.next(LOSSES, now);
-        let leaving = self.leaving.next(LEAVING, now);
+    pub fn urgent_message(&mut self, revision: u64, now: Time) -> Message {
+        let losses = self.losses.next_batch(MAX_LOSSES, now);
+        let leaving = self.leaving.next_batch(MAX_LEAVING, now);
         Message { from: self.own.clone(), revision, records: Vec::new(), loads: Vec::new(), losses, leaving }
     }
 
     /// The answer to a message: an urgent one gets one of its kind.
     pub fn answer(&mut self, message: &Message, revision: u64, now: Time) -> Message {
-        if message.is_urgent() { self.urgent(revision, now) } else { self.message(revision, now) }
+        if message.is_urgent() { self.urgent_message(revision, now) } else { self.message(revision, now) }
     }
 
     /// Takes in a message that came at `now`.
@@ -176,7 +176,7 @@
     }
 
     /// Takes in all that a peer knows.
-    pub fn adopt(&mut self, snapshot: &Snapshot, now: Time) {
+    pub fn merge_snapshot(&mut self, snapshot: &Snapshot, now: Time) {
         for record in &snapshot.records {
             self.note(record, now);
         }
@@ -189,7 +189,7 @@
     }
 
     /// The member `name` did not answer.
-    pub fn failed(&mut self, name: &str, now: Time) {
+    pub fn record_failure(&mut self, name: &str, now: Time) {
         let spread = self.spread();
         let listed = self.listed.get(name);
         let member = match (self.members.get_mut(name), listed) {
@@ -212,7 +212,7 @@
     pub fn tick(&mut self, now: Time) {
         let spread = self.spread();
         for member in self.members.values_mut() {
-            let due = now.since(member.changed) >= self.times.suspect;
+            let due = now.since(member.changed) >= self.timeouts.suspect;
             if member.record.state == State::Suspect && due {
                 member.record.state = State::Dead;
                 member.changed = now;
@@ -230,19 +230,19 @@
     }
 
     /// Names of the other members that live, suspects among them.
-    pub fn alive(&self) -> impl Iterator<Item = &str> {
+    pub fn live_members(&self) -> impl Iterator<Item = &str> {
         let living = self.members.values().filter(|member| member.record.state <= State::Suspect);
         living.map(|member| member.record.name.as_str())
     }
 
     /// Members that answer, ourselves among them: name and failure domain.
-    pub fn answering(&self) -> impl Iterator<Item = (&str, &str)> {
+    pub fn responsive_members(&self) -> impl Iterator<Item = (&str, &str)> {
         let others = self.members.values().map(|member| &member.record).filter(|record| record.state == State::Alive);
         std::iter::once(&self.own).chain(others).map(|record| (record.name.as_str(), record.domain.as_str()))
     }
 
     /// Names of all living members of `domain`, ourselves among them.
-    pub fn alive_in<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a str> {
+    pub fn live_members_in<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a str> {
         let others = self.members.values().map(|member| &member.record);
         let all = std::iter::once(&self.own).chain(others);
         let inside = all.filter(move |record| record.domain == domain && record.state <= State::Suspect);
@@ -253,7 +253,7 @@
     pub fn digest(&self) -> u64 {
         let records = std::iter::once(&self.own).chain(self.members.values().map(|member| &member.record));
         records.fold(0, |sum, record| {
-            let texts = [&record.name, &record.domain, &record.callers, &record.peers];
+            let texts = [&record.name, &record.domain, &record.caller_address, &record.peer_address];
             let texts = texts.into_iter().fold(sum, |sum, text| hash::pair(sum, hash::bytes(text.as_bytes())));
             hash::pair(hash::pair(texts, record.incarnation), record.state as u64)
         })
@@ -263,7 +263,7 @@
     pub fn reads_store(&self, most: usize) -> bool {
         let rank = |name: &str| hash::bytes(name.as_bytes());
         let own = rank(&self.own.name);
-        let better = self.alive_in(&self.own.domain).filter(|name| rank(name) > own).count();
+        let better = self.live_members_in(&self.own.domain).filter(|name| rank(name) > own).count();
         better < most
     }
 
@@ -283,7 +283,7 @@
         }
         let spread = self.spread();
         match self.members.get_mut(&record.name) {
-            Some(member) if record.beats(&member.record) => {
+            Some(member) if record.supersedes(&member.record) => {
                 member.changed = now;
                 member.record = record.clone();
                 member.spread = spread;
@@ -307,7 +307,7 @@
     }
 
     /// How long ago each living member last spoke to us itself, by name; `None` for one that never did.
-    pub fn words(&self, now: Time) -> impl Iterator<Item = (&str, Option<Duration>)> {
+    pub fn silence(&self, now: Time) -> impl Iterator<Item = (&str, Option<Duration>)> {
         let living = self.members.values().filter(|member| member.record.state <= State::Suspect);
         living.map(move |member| (member.record.name.as_str(), member.heard.map(|heard| now.since(heard))))
     }
@@ -319,8 +319,8 @@
             return;
         }
         let wrong = record.incarnation == self.own.incarnation && record.state > self.own.state;
-        if wrong && record.beat >= self.own.beat {
-            self.own.beat = record.beat + 1;
+        if wrong && record.refutations >= self.own.refutations {
+            self.own.refutations = record.refutations + 1;
         }
     }
 
@@ -334,7 +334,7 @@
             .collect();
         waiting.sort_unstable_by(|one, other| other.cmp(one));
         let mut records = Vec::new();
-        for (_, name) in waiting.into_iter().take(RECORDS) {
+        for (_, name) in waiting.into_iter().take(MAX_RECORDS) {
             if let Some(member) = self.members.get_mut(&name) {
                 member.spread -= 1;
                 records.push(member.record.clone());
@@ -356,15 +356,15 @@
     }
 }
 
-/// The record of a listed instance that never spoke: any word of its own beats it.
+/// The record of a listed instance that never spoke: any word of its own supersedes it.
 fn unheard(listed: &Instance) -> Record {
     Record {
         name: listed.name.clone(),
         incarnation: 0,
-        beat: 0,
+        refutations: 0,
         state: State::Alive,
-        peers: listed.peers.clone(),
+        peer_address: listed.peers.clone(),
         domain: listed.domain.clone(),
-        callers: listed.address.clone(),
+        caller_address: listed.address.clone(),
     }
 }
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -12,17 +12,17 @@
 use base::time::Time;
 
 /// Age of knowledge from which on a daemon looks for another source: the store confirms it about once a second.
-pub const STALE: Duration = Duration::from_millis(1_250);
+pub const STALE_AFTER: Duration = Duration::from_millis(1_250);
 /// The same for what comes through a daemon that does so itself.
-pub const STALE_BEHIND_OTHERS: Duration = Duration::from_millis(1_500);
+pub const RELAYED_STALE_AFTER: Duration = Duration::from_millis(1_500);
 /// Age of its knowledge at which a daemon asks the store itself, whatever its source says.
-pub const PATIENCE: Duration = Duration::from_millis(1_700);
+pub const MAX_STALENESS: Duration = Duration::from_millis(1_700);
 /// How long a source that was found silent or stale is not asked; it doubles each time in a row.
 const AVOIDED: Duration = Duration::from_secs(3);
 /// Longest time for which it is not asked.
 const LONGEST_AVOIDED: Duration = Duration::from_secs(48);
 /// Time after which a source that was asked again and was sound is as good as any.
-const FORGIVEN: Duration = Duration::from_secs(10);
+const RECOVERY: Duration = Duration::from_secs(10);
 
 /// Where a daemon learns of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,17 +30,17 @@
     /// From the store.
     Store,
     /// From the first daemon of the region, which watches the store.
-    First(&'a str),
+    RegionLeader(&'a str),
     /// From another daemon of the failure domain, which learns from the first of the region.
-    Near(&'a str),
+    DomainLeader(&'a str),
 }
 
 impl Source<'_> {
     /// Age of what it tells from which on another source is looked for.
-    pub const fn stale(&self) -> Duration {
+    pub const fn stale_after(&self) -> Duration {
         match self {
-            Self::Store | Self::First(_) => STALE,
-            Self::Near(_) => STALE_BEHIND_OTHERS,
+            Self::Store | Self::RegionLeader(_) => STALE_AFTER,
+            Self::DomainLeader(_) => RELAYED_STALE_AFTER,
         }
     }
 }
@@ -53,15 +53,15 @@
     let near = region.iter().filter(|(_, of)| *of == domain).map(|(name, _)| *name).max_by_key(|name| rank(name));
     match (first, near) {
         (Some(first), _) if first == own => Source::Store,
-        (Some(first), Some(near)) if near == own || near == first => Source::First(first),
-        (_, Some(near)) => Source::Near(near),
+        (Some(first), Some(near)) if near == own || near == first => Source::RegionLeader(first),
+        (_, Some(near)) => Source::DomainLeader(near),
         _ => Source::Store,
     }
 }
 
 /// Sources that were found silent or stale.
 #[derive(Debug, Clone, Default)]
-pub struct Avoided(BTreeMap<String, Fault>);
+pub struct Backoff(BTreeMap<String, Fault>);
 
 /// A source that was found silent or stale.
 #[derive(Debug, Clone, Copy)]
@@ -71,22 +71,22 @@
     time: Duration,
 }
 
-impl Avoided {
+impl Backoff {
     /// None.
     pub const fn new() -> Self {
         Self(BTreeMap::new())
     }
 
     /// `name` was silent or stale at `now`.
-    pub fn note(&mut self, name: &str, now: Time) {
-        self.0.retain(|_, fault| now < fault.until + FORGIVEN);
+    pub fn record_failure(&mut self, name: &str, now: Time) {
+        self.0.retain(|_, fault| now < fault.until + RECOVERY);
         let before = self.0.get(name).map(|fault| fault.time * 2);
         let time = before.unwrap_or(AVOIDED).min(LONGEST_AVOIDED);
         self.0.insert(name.to_owned(), Fault { until: now + time, time });
     }
 
     /// Whether `name` is not to be asked at `now`.
-    pub fn holds(&self, name: &str, now: Time) -> bool {
+    pub fn is_active(&self, name: &str, now: Time) -> bool {
         self.0.get(name).is_some_and(|fault| now < fault.until)
     }
 }
--- a/crates/fleet/src/target.rs
+++ b/crates/fleet/src/target.rs
@@ -14,7 +14,7 @@
     }
 
     /// The next member for which `allowed` holds; `members` refills the round.
-    pub fn next<'a, I, F>(&mut self, members: I, allowed: F) -> Option<String>
+    pub fn next_allowed<'a, I, F>(&mut self, members: I, allowed: F) -> Option<String>
     where
         I: Iterator<Item = &'a String>,
         F: Fn(&str) -> bool,
@@ -35,14 +35,14 @@
     }
 
     /// Up to `most` of `members`, at random.
-    pub fn some(&mut self, mut members: Vec<String>, most: usize) -> Vec<String> {
+    pub fn sample(&mut self, mut members: Vec<String>, most: usize) -> Vec<String> {
         self.rng.shuffle(&mut members);
         members.truncate(most);
         members
     }
 
     /// Whether a chance of one in `times` comes up.
-    pub fn chance(&mut self, times: u32) -> bool {
+    pub fn one_in(&mut self, times: u32) -> bool {
         self.rng.u32(0..times.max(1)) == 0
     }
 }
--- a/crates/fleet/tests/roster.rs
+++ b/crates/fleet/tests/roster.rs
@@ -4,17 +4,25 @@
 use std::time::Duration;
 
 use base::time::Time;
-use fleet::copy::{Copy, Holder};
 use fleet::message::{Message, Record, State};
-use fleet::roster::{Roster, Times};
+use fleet::replica::{Document, Replica};
+use fleet::roster::{Roster, Timeouts};
 use rstest::rstest;
 
-const TIMES: Times = Times { suspect: Duration::from_secs(3) };
+const TIMEOUTS: Timeouts = Timeouts { suspect: Duration::from_secs(3) };
 const POLICY: &str = "[regions.r]\ndomains = [\"d\"]\n[classes.c]\nservice = \"s\"\npaths = [\"/c\"]\nidempotent = true\nrank = 0\ntarget_ms = 1\ntarget_share = 0.9\ndeadline_ms = 1\n";
 
 fn record(name: &str, incarnation: u64) -> Record {
-    let (peers, domain) = (name.to_owned(), "d".to_owned());
-    Record { name: name.to_owned(), incarnation, beat: 0, state: State::Alive, peers, domain, callers: String::new() }
+    let (peer_address, domain) = (name.to_owned(), "d".to_owned());
+    Record {
+        name: name.to_owned(),
+        incarnation,
+        refutations: 0,
+        state: State::Alive,
+        peer_address,
+        domain,
+        caller_address: String::new(),
+    }
 }
 
 /// Daemons that exchange once a second, each with whom it likes.
@@ -34,9 +42,9 @@
         let mut rosters = BTreeMap::new();
         for number in 0..count {
             let name = format!("n{number}");
-            let mut roster = Roster::new(record(&name, 1), TIMES, number as u64);
+            let mut roster = Roster::new(record(&name, 1), TIMEOUTS, number as u64);
             for other in (0..count).filter(|other| *other != number) {
-                let mut hello = Roster::new(record(&format!("n{other}"), 1), TIMES, 0);
+                let mut hello = Roster::new(record(&format!("n{other}"), 1), TIMEOUTS, 0);
                 roster.merge(&hello.message(0, Time::ZERO), Time::ZERO);
             }
             rosters.insert(name, roster);
@@ -61,10 +69,10 @@
         let now = self.now;
         let roster = self.rosters.get_mut(name).expect("the name is known");
         roster.tick(now);
-        let Some((target, _)) = roster.target(now) else { return };
+        let Some((target, _)) = roster.next_target(now) else { return };
         let separated = self.cut.contains(&name.to_owned()) != self.cut.contains(&target);
         if self.dead.contains(&target) || separated || !self.rosters.contains_key(&target) {
-            return self.rosters.get_mut(name).expect("the name is known").failed(&target, now);
+            return self.rosters.get_mut(name).expect("the name is known").record_failure(&target, now);
         }
         let message = self.rosters.get_mut(name).expect("the name is known").message(0, now);
         self.take(&target, &message);
@@ -81,9 +89,9 @@
         let news = message.losses.iter().filter(|loss| heard.insert(**loss));
         news.for_each(|loss| {
             if loss.0 == 7 {
-                roster.losses_mut().spread_lasting(*loss, self.now);
+                roster.losses_mut().add_persistent(*loss, self.now);
             } else {
-                roster.losses_mut().spread(*loss, self.now);
+                roster.losses_mut().add(*loss, self.now);
             }
         });
     }
@@ -130,9 +138,9 @@
 
 #[test]
 fn a_paused_daemon_does_not_speak_for_its_successor() {
-    let mut observer = Roster::new(record("o", 1), TIMES, 0);
-    let mut old = Roster::new(record("x", 10), TIMES, 1);
-    let mut new = Roster::new(record("x", 20), TIMES, 2);
+    let mut observer = Roster::new(record("o", 1), TIMEOUTS, 0);
+    let mut old = Roster::new(record("x", 10), TIMEOUTS, 1);
+    let mut new = Roster::new(record("x", 20), TIMEOUTS, 2);
     let now = Time::from_millis(1);
     observer.merge(&old.message(0, now), now);
     observer.merge(&new.message(0, now), now);
@@ -147,10 +155,10 @@
 #[test]
 fn the_accused_objects() {
     let now = Time::from_millis(1);
-    let mut observer = Roster::new(record("o", 1), TIMES, 0);
-    let mut accused = Roster::new(record("x", 1), TIMES, 1);
+    let mut observer = Roster::new(record("o", 1), TIMEOUTS, 0);
+    let mut accused = Roster::new(record("x", 1), TIMEOUTS, 1);
     observer.merge(&accused.message(0, now), now);
-    observer.failed("x", now);
+    observer.record_failure("x", now);
     accused.merge(&observer.message(0, now), now);
     observer.merge(&accused.message(0, now), now);
     assert_eq!(observer.state("x"), Some(State::Alive));
@@ -161,13 +169,13 @@
 #[test]
 fn a_leaver_is_out_at_once() {
     let now = Time::from_millis(1);
-    let mut observer = Roster::new(record("o", 1), TIMES, 0);
-    let mut leaver = Roster::new(record("x", 1), TIMES, 1);
+    let mut observer = Roster::new(record("o", 1), TIMEOUTS, 0);
+    let mut leaver = Roster::new(record("x", 1), TIMEOUTS, 1);
     observer.merge(&leaver.message(0, now), now);
     leaver.leave();
     observer.merge(&leaver.message(0, now), now);
     assert_eq!(observer.state("x"), Some(State::Left));
-    assert_eq!(observer.alive().count(), 0);
+    assert_eq!(observer.live_members().count(), 0);
 }
 
 #[rstest]
@@ -175,38 +183,38 @@
 #[case::same(7, 7, false)]
 #[case::older(7, 6, false)]
 fn a_policy_never_steps_back(#[case] have: u64, #[case] offered: u64, #[case] taken: bool) {
-    let mut holder = Holder::new();
-    holder.offer(Copy::new(have, POLICY.to_owned())).expect("the policy is good");
-    let result = holder.offer(Copy::new(offered, POLICY.to_owned()));
+    let mut holder = Replica::new();
+    holder.apply(Document::new(have, POLICY.to_owned())).expect("the policy is good");
+    let result = holder.apply(Document::new(offered, POLICY.to_owned()));
     assert_eq!(result.expect("the policy is good").is_some(), taken);
     assert_eq!(holder.revision(), have.max(offered));
 }
 
 #[test]
 fn a_damaged_copy_changes_nothing_and_is_asked_for_again() {
-    let mut holder = Holder::new();
-    let mut copy = Copy::new(3, POLICY.to_owned());
+    let mut holder = Replica::new();
+    let mut copy = Document::new(3, POLICY.to_owned());
     copy.text.push('#');
-    holder.offer(copy).expect_err("the copy is damaged");
+    holder.apply(copy).expect_err("the copy is damaged");
     assert_eq!(holder.revision(), 0);
-    assert!(holder.wants(3), "another peer may have it whole");
+    assert!(holder.needs(3), "another peer may have it whole");
 }
 
 #[test]
 fn an_old_copy_under_a_new_revision_is_damaged() {
-    let mut holder = Holder::new();
-    let mut copy = Copy::new(3, POLICY.to_owned());
+    let mut holder = Replica::new();
+    let mut copy = Document::new(3, POLICY.to_owned());
     copy.revision = 9;
-    holder.offer(copy).expect_err("the copy is damaged");
+    holder.apply(copy).expect_err("the copy is damaged");
 }
 
 #[test]
 fn an_invalid_policy_changes_nothing_and_is_not_asked_for_again() {
-    let mut holder = Holder::new();
-    holder.offer(Copy::new(3, "regions = 5".to_owned())).expect_err("the policy is invalid");
+    let mut holder = Replica::new();
+    holder.apply(Document::new(3, "regions = 5".to_owned())).expect_err("the policy is invalid");
     assert_eq!(holder.revision(), 0);
-    assert!(!holder.wants(3));
-    assert!(holder.wants(4));
+    assert!(!holder.needs(3));
+    assert!(holder.needs(4));
 }
 
 /// Load: connections of one daemon end together. All hear of nearly all losses, none is told for ever.
@@ -218,8 +226,8 @@
     let mut fleet = Fleet::new(count);
     let now = fleet.now;
     let first = fleet.rosters.get_mut("n0").expect("it is there");
-    (0..LOST).for_each(|loss| first.losses_mut().spread((loss, loss), now));
-    first.losses_mut().spread_lasting((7, 7), now);
+    (0..LOST).for_each(|loss| first.losses_mut().add((loss, loss), now));
+    first.losses_mut().add_persistent((7, 7), now);
     fleet.heard.insert("n0".to_owned(), (0..LOST).map(|loss| (loss, loss)).collect());
     fleet.seconds(30);
     let heard: usize = fleet.heard.values().map(BTreeSet::len).sum();
@@ -238,9 +246,9 @@
     let now = fleet.now;
     let mut one = fleet.rosters["n1"].clone();
     let mut other = fleet.rosters["n2"].clone();
-    one.losses_mut().spread((1, 2), now);
-    other.losses_mut().spread((3, 4), now);
-    let message = one.urgent(0, now);
+    one.losses_mut().add((1, 2), now);
+    other.losses_mut().add((3, 4), now);
+    let message = one.urgent_message(0, now);
     let answer = other.answer(&message, 0, now);
     assert!(message.is_urgent() && answer.is_urgent());
     assert_eq!((message.losses, answer.losses), (vec![(1, 2)], vec![(3, 4)]));
@@ -251,12 +259,12 @@
 /// What a member says itself is told from what others say of it.
 #[test]
 fn the_age_of_a_members_word_counts_from_when_it_spoke_itself() {
-    let mut roster = Roster::new(record("a", 1), TIMES, 1);
+    let mut roster = Roster::new(record("a", 1), TIMEOUTS, 1);
     let (at, later) = (Time::from_millis(5_000), Time::from_millis(9_000));
-    let mut speaker = Roster::new(record("b", 1), TIMES, 2);
-    let mut third = Roster::new(record("c", 1), TIMES, 3);
+    let mut speaker = Roster::new(record("b", 1), TIMEOUTS, 2);
+    let mut third = Roster::new(record("c", 1), TIMEOUTS, 3);
     speaker.merge(&third.message(0, at), at);
     roster.merge(&speaker.message(0, at), at);
-    let words: BTreeMap<&str, Option<Duration>> = roster.words(later).collect();
+    let words: BTreeMap<&str, Option<Duration>> = roster.silence(later).collect();
     assert_eq!(words, BTreeMap::from([("b", Some(Duration::from_secs(4))), ("c", None)]));
 }
--- a/crates/fleet/tests/source.rs
+++ b/crates/fleet/tests/source.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::time::Time;
-use fleet::source::{Avoided, PATIENCE, STALE, STALE_BEHIND_OTHERS, Source, choose};
+use fleet::source::{Backoff, MAX_STALENESS, RELAYED_STALE_AFTER, STALE_AFTER, Source, choose};
 
 /// `each` daemons in each of `domains` failure domains of one region.
 fn region(domains: usize, each: usize) -> BTreeMap<String, String> {
@@ -30,15 +30,15 @@
         for (name, source) in &sources {
             match source {
                 Source::Store => {}
-                Source::First(first) => {
+                Source::RegionLeader(first) => {
                     assert_eq!(first, &watching[0]);
                     if members[name] != members[first] {
                         assert!(crossing.insert(members[name]), "one daemon of each other domain");
                     }
                 }
-                Source::Near(near) => {
+                Source::DomainLeader(near) => {
                     assert_eq!(members[near], members[name]);
-                    assert!(matches!(sources[near], Source::First(_)), "it learns from the first of the region");
+                    assert!(matches!(sources[near], Source::RegionLeader(_)), "it learns from the first of the region");
                 }
             }
         }
@@ -55,8 +55,9 @@
             members.iter().filter(|(name, _)| name != &gone).map(|(name, domain)| (*name, *domain)).collect();
         for name in left.keys() {
             let (before, after) = (choose(name, &members), choose(name, &left));
-            let learnt_from_it = matches!(before, Source::First(from) | Source::Near(from) if from == *gone);
-            let promoted = matches!(after, Source::First(_)) && matches!(before, Source::Near(_));
+            let learnt_from_it =
+                matches!(before, Source::RegionLeader(from) | Source::DomainLeader(from) if from == *gone);
+            let promoted = matches!(after, Source::RegionLeader(_)) && matches!(before, Source::DomainLeader(_));
             assert!(before == after || learnt_from_it || promoted, "{gone} gone: {name} {before:?} {after:?}");
         }
     }
@@ -70,27 +71,27 @@
 
 #[test]
 fn a_source_that_is_found_stale_again_and_again_is_left_alone_for_longer() {
-    let mut avoided = Avoided::new();
+    let mut avoided = Backoff::new();
     let mut now = Time::from_millis(1_000);
     let mut asked = 0;
     let end = now + Duration::from_mins(3);
     while now < end {
-        if !avoided.holds("e-1", now) {
+        if !avoided.is_active("e-1", now) {
             asked += 1;
-            avoided.note("e-1", now);
+            avoided.record_failure("e-1", now);
         }
         now = now + Duration::from_millis(100);
     }
     assert!((4..=9).contains(&asked), "{asked} questions to a stale source in three minutes");
-    assert!(!avoided.holds("e-2", now));
+    assert!(!avoided.is_active("e-2", now));
     let later = now + Duration::from_mins(2);
-    avoided.note("e-1", later);
-    assert!(!avoided.holds("e-1", later + Duration::from_secs(4)), "it was sound for a long time");
+    avoided.record_failure("e-1", later);
+    assert!(!avoided.is_active("e-1", later + Duration::from_secs(4)), "it was sound for a long time");
 }
 
 /// A server that leaves gets nothing more two seconds after the store knows: no daemon may be unaware for longer.
 #[test]
 fn the_store_is_asked_before_knowledge_is_too_old() {
-    assert!(STALE < STALE_BEHIND_OTHERS && STALE_BEHIND_OTHERS < PATIENCE);
-    assert!(PATIENCE + Duration::from_millis(250) < Duration::from_secs(2));
+    assert!(STALE_AFTER < RELAYED_STALE_AFTER && RELAYED_STALE_AFTER < MAX_STALENESS);
+    assert!(MAX_STALENESS + Duration::from_millis(250) < Duration::from_secs(2));
 }
--- a/crates/ledger/src/make.rs
+++ b/crates/ledger/src/acquire.rs
@@ -17,7 +17,7 @@
 
 /// What another daemon can say of a key it claimed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Word<A> {
+pub enum Status<A> {
     /// It ran, and this was the answer.
     Ran(A),
     /// It runs now.
@@ -42,38 +42,38 @@
     /// The answer was lost; a write may have taken effect.
     Lost,
     /// The claimant's word on its claim, which stood at this revision.
-    Said(Word<A>, u64),
+    Status(Status<A>, u64),
 }
 
 /// What the claim has come to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Held<A> {
+pub enum Outcome<A> {
     /// It is ours, made now, at this revision.
-    Ours(u64),
+    Acquired(u64),
     /// Another daemon ran it, and this was the answer.
     Ran(A),
     /// Another daemon runs it now.
-    Busy,
+    Running,
     /// It may have run.
-    Taken,
+    Unknown,
     /// The key stands for another request.
-    Reused,
+    KeyReused,
     /// Nothing reliable was learned.
-    Silent,
+    Unavailable,
 }
 
 /// The next call, or the end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Progress<A> {
+pub enum Action<A> {
     /// Make this call.
     Call(Call),
     /// The claim has come to this.
-    End(Held<A>),
+    Finish(Outcome<A>),
 }
 
 /// Makes one claim.
 #[derive(Debug, Clone)]
-pub struct Maker {
+pub struct Acquisition {
     incarnation: u64,
     fingerprint: u64,
     /// The ledger remembers that nothing was sent for the key.
@@ -81,47 +81,47 @@
     give_up: Time,
 }
 
-impl Maker {
+impl Acquisition {
     /// Makes a claim for `incarnation` until `give_up`; `unsent` says that the ledger remembers the key as unsent.
     pub const fn new(incarnation: u64, fingerprint: u64, unsent: bool, give_up: Time) -> Self {
         Self { incarnation, fingerprint, unsent, give_up }
     }
 
     /// The first call.
-    pub const fn first<A>(&self) -> Progress<A> {
-        Progress::Call(Call::Write(0))
+    pub const fn start<A>(&self) -> Action<A> {
+        Action::Call(Call::Write(0))
     }
 
     /// The next call, or the end, after `reply`.
     ///
     /// A claim counts as ours only after a write of ours took effect in answer to this very send: another
     /// daemon may have been told that an older claim of ours was never run, and be taking it over.
-    pub fn next<A>(&self, reply: Reply<A>, now: Time) -> Progress<A> {
+    pub fn handle<A>(&self, reply: Reply<A>, now: Time) -> Action<A> {
         let late = now >= self.give_up;
         match reply {
-            Reply::Written(revision) => Progress::End(Held::Ours(revision)),
-            Reply::Said(Word::Ran(answer), _) => Progress::End(Held::Ran(answer)),
-            Reply::Said(Word::Running, _) => Progress::End(Held::Busy),
-            Reply::Said(Word::Unknown, _) => Progress::End(Held::Taken),
-            Reply::Unsent => Progress::End(Held::Silent),
-            _ if late => Progress::End(Held::Silent),
-            Reply::Said(Word::NeverRun, revision) => Progress::Call(Call::Write(revision)),
-            Reply::Conflict | Reply::Lost => Progress::Call(Call::Read),
-            Reply::Found(None) => Progress::Call(Call::Write(0)),
+            Reply::Written(revision) => Action::Finish(Outcome::Acquired(revision)),
+            Reply::Status(Status::Ran(answer), _) => Action::Finish(Outcome::Ran(answer)),
+            Reply::Status(Status::Running, _) => Action::Finish(Outcome::Running),
+            Reply::Status(Status::Unknown, _) => Action::Finish(Outcome::Unknown),
+            Reply::Unsent => Action::Finish(Outcome::Unavailable),
+            _ if late => Action::Finish(Outcome::Unavailable),
+            Reply::Status(Status::NeverRun, revision) => Action::Call(Call::Write(revision)),
+            Reply::Conflict | Reply::Lost => Action::Call(Call::Read),
+            Reply::Found(None) => Action::Call(Call::Write(0)),
             Reply::Found(Some((claim, revision))) => self.found(claim, revision),
         }
     }
 
-    fn found<A>(&self, claim: Claim, revision: u64) -> Progress<A> {
+    fn found<A>(&self, claim: Claim, revision: u64) -> Action<A> {
         if claim.fingerprint != self.fingerprint {
-            return Progress::End(Held::Reused);
+            return Action::Finish(Outcome::KeyReused);
         }
         if claim.incarnation != self.incarnation {
-            return Progress::Call(Call::Ask(claim, revision));
+            return Action::Call(Call::Ask(claim, revision));
         }
         if self.unsent {
-            return Progress::Call(Call::Write(revision));
+            return Action::Call(Call::Write(revision));
         }
-        Progress::End(Held::Taken)
+        Action::Finish(Outcome::Unknown)
     }
 }
--- a/crates/ledger/src/kept.rs
+++ b/crates/ledger/src/cache.rs
@@ -4,14 +4,14 @@
 
 /// Answers by key; the oldest go when the bound is passed.
 #[derive(Debug, Clone)]
-pub struct Kept<A> {
+pub struct Cache<A> {
     most_bytes: u64,
     bytes: u64,
     answers: BTreeMap<u128, (A, u64)>,
     order: VecDeque<u128>,
 }
 
-impl<A: Clone> Kept<A> {
+impl<A: Clone> Cache<A> {
     /// Keeps at most `most_bytes` of answers.
     pub const fn new(most_bytes: u64) -> Self {
         Self { most_bytes, bytes: 0, answers: BTreeMap::new(), order: VecDeque::new() }
--- a/crates/ledger/src/claim.rs
+++ b/crates/ledger/src/claim.rs
@@ -18,7 +18,7 @@
     /// Fingerprint of the request, so that a key reused for another one is noticed.
     pub fingerprint: u64,
     /// Where peers reach the claiming daemon, `IP:PORT`.
-    pub peers: String,
+    pub peer_address: String,
 }
 
 impl Claim {
@@ -30,8 +30,8 @@
         let mut number = || words.next().and_then(|word| u64::from_str_radix(word, 16).ok());
         let incarnation = number().ok_or_else(error)?;
         let fingerprint = number().ok_or_else(error)?;
-        let peers = words.next().ok_or_else(error)?.to_owned();
-        Ok(Self { incarnation, fingerprint, peers })
+        let peer_address = words.next().ok_or_else(error)?.to_owned();
+        Ok(Self { incarnation, fingerprint, peer_address })
     }
 
     /// The store's bytes.
@@ -42,6 +42,6 @@
 
 impl fmt::Display for Claim {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:016x} {:016x} {}", self.incarnation, self.fingerprint, self.peers)
+        write!(f, "{:016x} {:016x} {}", self.incarnation, self.fingerprint, self.peer_address)
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -4,11 +4,11 @@
 //! request runs only after its claim was made there by compare-and-swap, or after it was claimed here in a
 //! session of this incarnation. See `docs/design/at-most-once.md`.
 
+pub mod acquire;
+pub mod cache;
 pub mod claim;
-pub mod kept;
-pub mod make;
 pub mod table;
 
+pub use acquire::{Acquisition, Outcome};
 pub use claim::Claim;
-pub use make::{Held, Maker};
-pub use table::{Ledger, Step};
+pub use table::{Admission, Ledger};
--- a/crates/ledger/src/table.rs
+++ b/crates/ledger/src/table.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use base::error::{Kind, Outcome};
+use base::error::{self, Kind};
 use base::time::Time;
 
-use crate::kept::Kept;
-use crate::make::{Held, Word};
+use crate::acquire::{Outcome, Status};
+use crate::cache::Cache;
 
 /// Keys of claims in the store remembered at most; what is forgotten counts as perhaps run.
 const MOST_STORED: usize = 65_536;
 
 /// What to do with a request that came.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step<A> {
-    /// Make its claim in the store, then call [`Ledger::claimed`].
+pub enum Admission<A> {
+    /// Make its claim in the store, then call [`Ledger::finish_claim`].
     Claim,
     /// Run it.
     Run,
@@ -53,11 +53,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// How long a key is remembered.
-    pub kept: Duration,
+    pub retention: Duration,
     /// Keys of sessions at most.
-    pub session_keys: usize,
+    pub max_session_keys: usize,
     /// Answers kept, in bytes.
-    pub answer_bytes: u64,
+    pub max_answer_bytes: u64,
 }
 
 /// One daemon's keys.
@@ -66,95 +66,95 @@
     limits: Limits,
     entries: BTreeMap<u128, Entry>,
     sessions: usize,
-    kept: Kept<A>,
+    kept: Cache<A>,
 }
 
 impl<A: Clone> Ledger<A> {
     /// An empty ledger.
     pub const fn new(limits: Limits) -> Self {
-        let kept = Kept::new(limits.answer_bytes);
+        let kept = Cache::new(limits.max_answer_bytes);
         Self { limits, entries: BTreeMap::new(), sessions: 0, kept }
     }
 
     /// A request with `key` came; `session` says that the key belongs to a session of this incarnation.
-    pub fn begin(&mut self, key: u128, fingerprint: u64, session: bool, now: Time) -> Step<A> {
+    pub fn begin(&mut self, key: u128, fingerprint: u64, session: bool, now: Time) -> Admission<A> {
         if let Some(entry) = self.entries.get_mut(&key) {
             if entry.fingerprint != fingerprint {
-                return Step::Refuse(Kind::KeyReused);
+                return Admission::Refuse(Kind::KeyReused);
             }
             return match entry.state {
-                State::Claiming | State::Running => Step::Refuse(Kind::StillRunning),
+                State::Claiming | State::Running => Admission::Refuse(Kind::StillRunning),
                 State::Done | State::GivenUp => self.again(key),
                 State::Idle => {
                     entry.state = if session { State::Running } else { State::Claiming };
                     entry.changed = now;
-                    if session { Step::Run } else { Step::Claim }
+                    if session { Admission::Run } else { Admission::Claim }
                 }
             };
         }
         if session && !self.room_for_session(now) {
-            return Step::Refuse(Kind::ClaimUnavailable);
+            return Admission::Refuse(Kind::ClaimUnavailable);
         }
         self.make_room(now);
         let state = if session { State::Running } else { State::Claiming };
         self.sessions += usize::from(session);
         self.entries.insert(key, Entry { state, fingerprint, session, stored: false, changed: now });
-        if session { Step::Run } else { Step::Claim }
+        if session { Admission::Run } else { Admission::Claim }
     }
 
     /// The claim of `key` is about to be sent to the store.
-    pub fn claiming(&mut self, key: u128) {
+    pub fn record_claim_sent(&mut self, key: u128) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.stored = true;
         }
     }
 
-    /// The claim of `key` has come to `held`; called once for each [`Step::Claim`].
-    pub fn claimed(&mut self, key: u128, held: Held<A>, now: Time) -> Step<A> {
+    /// The claim of `key` has come to `held`; called once for each [`Admission::Claim`].
+    pub fn finish_claim(&mut self, key: u128, held: Outcome<A>, now: Time) -> Admission<A> {
         let Some(entry) = self.entries.get_mut(&key) else {
-            return Step::Refuse(Kind::AlreadyClaimed);
+            return Admission::Refuse(Kind::AlreadyClaimed);
         };
         if entry.state != State::Claiming {
-            return Step::Refuse(Kind::AlreadyClaimed);
+            return Admission::Refuse(Kind::AlreadyClaimed);
         }
         entry.changed = now;
         match held {
-            Held::Ours(_) => {
+            Outcome::Acquired(_) => {
                 entry.state = State::Running;
-                return Step::Run;
+                return Admission::Run;
             }
-            Held::Silent if entry.stored => {
+            Outcome::Unavailable if entry.stored => {
                 entry.state = State::Idle;
-                return Step::Refuse(Kind::ClaimUnavailable);
+                return Admission::Refuse(Kind::ClaimUnavailable);
             }
             _ => self.remove(key),
         }
         match held {
-            Held::Ran(answer) => Step::Replay(answer),
-            Held::Busy => Step::Refuse(Kind::StillRunning),
-            Held::Reused => Step::Refuse(Kind::KeyReused),
-            Held::Silent => Step::Refuse(Kind::ClaimUnavailable),
-            Held::Taken | Held::Ours(_) => Step::Refuse(Kind::AlreadyClaimed),
+            Outcome::Ran(answer) => Admission::Replay(answer),
+            Outcome::Running => Admission::Refuse(Kind::StillRunning),
+            Outcome::KeyReused => Admission::Refuse(Kind::KeyReused),
+            Outcome::Unavailable => Admission::Refuse(Kind::ClaimUnavailable),
+            Outcome::Unknown | Outcome::Acquired(_) => Admission::Refuse(Kind::AlreadyClaimed),
         }
     }
 
     /// Whether `key` is being claimed and nothing was sent for it, so a claim of ours in the store is unused.
     ///
     /// Such a claim may be replaced by compare-and-swap at its revision, and counts as ours only once that is done:
-    /// a peer that was told [`Word::NeverRun`] may be taking it over at the same revision.
-    pub fn unsent(&self, key: u128) -> bool {
+    /// a peer that was told [`Status::NeverRun`] may be taking it over at the same revision.
+    pub fn is_unsent(&self, key: u128) -> bool {
         self.entries.get(&key).is_some_and(|entry| entry.state == State::Claiming)
     }
 
     /// A request that ran, or was to run, got its whole answer.
-    pub fn ran(&mut self, key: u128, answer: A, bytes: u64, now: Time) {
+    pub fn record_answer(&mut self, key: u128, answer: A, bytes: u64, now: Time) {
         self.set(key, State::Done, now);
         self.kept.put(key, answer, bytes);
     }
 
     /// A request ended with an error; `true` if its claim should be deleted from the store.
-    pub fn failed(&mut self, key: u128, kind: Kind, now: Time) -> bool {
-        let unknown = kind.answer().outcome == Outcome::Unknown;
+    pub fn record_failure(&mut self, key: u128, kind: Kind, now: Time) -> bool {
+        let unknown = kind.answer().outcome == error::Outcome::Unknown;
         let Some(entry) = self.entries.get_mut(&key) else {
             return false;
         };
@@ -171,7 +171,7 @@
     }
 
     /// The claim of a key that never ran is gone from the store.
-    pub fn released(&mut self, key: u128) {
+    pub fn record_release(&mut self, key: u128) {
         let idle = self.entries.get(&key).is_some_and(|entry| entry.state == State::Idle);
         if idle {
             self.remove(key);
@@ -179,17 +179,17 @@
     }
 
     /// What a peer that holds a claim of ours may be told; a key that never ran is given up for good.
-    pub fn word(&mut self, key: u128, now: Time) -> Word<A> {
+    pub fn status(&mut self, key: u128, now: Time) -> Status<A> {
         let Some(entry) = self.entries.get_mut(&key) else {
-            return Word::Unknown;
+            return Status::Unknown;
         };
         match entry.state {
-            State::Claiming | State::Running => Word::Running,
-            State::Done => self.kept.get(key).map_or(Word::Unknown, Word::Ran),
+            State::Claiming | State::Running => Status::Running,
+            State::Done => self.kept.get(key).map_or(Status::Unknown, Status::Ran),
             State::Idle | State::GivenUp => {
                 entry.state = State::GivenUp;
                 entry.changed = now;
-                Word::NeverRun
+                Status::NeverRun
             }
         }
     }
@@ -204,18 +204,18 @@
         self.entries.is_empty()
     }
 
-    fn again(&mut self, key: u128) -> Step<A> {
+    fn again(&mut self, key: u128) -> Admission<A> {
         let given_up = self.entries.get(&key).is_some_and(|entry| entry.state == State::GivenUp);
         match self.kept.get(key) {
-            Some(answer) => Step::Replay(answer),
+            Some(answer) => Admission::Replay(answer),
             None if given_up => {
                 // A peer took the key over; the store knows who.
                 if let Some(entry) = self.entries.get_mut(&key) {
                     entry.state = State::Claiming;
                 }
-                Step::Claim
+                Admission::Claim
             }
-            None => Step::Refuse(Kind::AlreadyClaimed),
+            None => Admission::Refuse(Kind::AlreadyClaimed),
         }
     }
 
@@ -228,11 +228,11 @@
 
     /// Whether one more key of a session can be remembered for its whole time.
     fn room_for_session(&mut self, now: Time) -> bool {
-        if self.sessions < self.limits.session_keys {
+        if self.sessions < self.limits.max_session_keys {
             return true;
         }
         self.forget_old(now);
-        self.sessions < self.limits.session_keys
+        self.sessions < self.limits.max_session_keys
     }
 
     /// Forgets the oldest stored claims when there are too many; the store still knows them.
@@ -250,7 +250,7 @@
     }
 
     fn forget_old(&mut self, now: Time) {
-        let kept = self.limits.kept;
+        let kept = self.limits.retention;
         let settled = |state| matches!(state, State::Done | State::Idle | State::GivenUp);
         let old = |entry: &Entry| now.since(entry.changed) >= kept && settled(entry.state);
         let keys: Vec<u128> = self.entries.iter().filter(|(_, entry)| old(entry)).map(|(key, _)| *key).collect();
--- a/crates/ledger/tests/once.rs
+++ b/crates/ledger/tests/once.rs
@@ -6,9 +6,9 @@
 use base::error::Kind;
 use base::time::Time;
 use fakes::state::State;
+use ledger::acquire::{Acquisition, Action, Call, Outcome, Reply, Status};
 use ledger::claim::Claim;
-use ledger::make::{Call, Held, Maker, Progress, Reply, Word};
-use ledger::table::{Ledger, Limits, Step};
+use ledger::table::{Admission, Ledger, Limits};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree as _;
 use store::{Change, Commit, key};
@@ -16,7 +16,7 @@
 const NODES: usize = 3;
 const KEYS: u128 = 2;
 const FINGERPRINT: u64 = 7;
-const LIMITS: Limits = Limits { kept: Duration::from_hours(24), session_keys: 8, answer_bytes: 1_000 };
+const LIMITS: Limits = Limits { retention: Duration::from_hours(24), max_session_keys: 8, max_answer_bytes: 1_000 };
 const NEVER: Time = Time::MAX;
 
 /// How a claim is made; all but the first are wrong on purpose, to show that the check sees it.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 enum Stage {
     New,
-    Calling(Maker, Call),
+    Calling(Acquisition, Call),
     Ready(u64),
     Over,
 }
@@ -127,14 +127,14 @@
     fn begin(&mut self, send: &Send) -> Stage {
         let ledger = &mut self.nodes[send.node].1;
         match ledger.begin(send.key, FINGERPRINT, false, Time::ZERO) {
-            Step::Claim => {
-                ledger.claiming(send.key);
-                let maker = Maker::new(send.incarnation, FINGERPRINT, ledger.unsent(send.key), NEVER);
-                let Progress::Call(call) = maker.first::<u64>() else { unreachable!("the first step is a call") };
+            Admission::Claim => {
+                ledger.record_claim_sent(send.key);
+                let maker = Acquisition::new(send.incarnation, FINGERPRINT, ledger.is_unsent(send.key), NEVER);
+                let Action::Call(call) = maker.start::<u64>() else { unreachable!("the first step is a call") };
                 Stage::Calling(maker, call)
             }
-            Step::Run => unreachable!("no session here"),
-            Step::Replay(_) | Step::Refuse(_) => Stage::Over,
+            Admission::Run => unreachable!("no session here"),
+            Admission::Replay(_) | Admission::Refuse(_) => Stage::Over,
         }
     }
 
@@ -142,7 +142,8 @@
         let name = key::claim(send.key);
         match call {
             Call::Write(expect) => {
-                let claim = Claim { incarnation: send.incarnation, fingerprint: FINGERPRINT, peers: String::new() };
+                let claim =
+                    Claim { incarnation: send.incarnation, fingerprint: FINGERPRINT, peer_address: String::new() };
                 let change = Change::set(&name, *expect, claim.to_bytes());
                 self.write(change, fault)
             }
@@ -158,22 +159,22 @@
             },
             Call::Ask(claim, revision) => {
                 let word = self.ask(claim, send.key, fault);
-                Reply::Said(word, *revision)
+                Reply::Status(word, *revision)
             }
         }
     }
 
-    fn ask(&mut self, claim: &Claim, key: u128, fault: Fault) -> Word<u64> {
+    fn ask(&mut self, claim: &Claim, key: u128, fault: Fault) -> Status<u64> {
         let claimant = self.nodes.iter_mut().find(|(incarnation, _)| *incarnation == claim.incarnation);
         match (claimant, fault) {
-            (Some((_, ledger)), Fault::None | Fault::Late) => ledger.word(key, Time::ZERO),
+            (Some((_, ledger)), Fault::None | Fault::Late) => ledger.status(key, Time::ZERO),
             // The question arrives and the answer is lost.
             (Some((_, ledger)), Fault::LoseAnswer) => {
-                ledger.word(key, Time::ZERO);
-                Word::Unknown
+                ledger.status(key, Time::ZERO);
+                Status::Unknown
             }
-            _ if self.method == Method::AssumeNeverRun => Word::NeverRun,
-            _ => Word::Unknown,
+            _ if self.method == Method::AssumeNeverRun => Status::NeverRun,
+            _ => Status::Unknown,
         }
     }
 
@@ -196,22 +197,22 @@
         }
     }
 
-    fn reply(&mut self, send: &Send, maker: Maker, reply: Reply<u64>) -> Stage {
+    fn reply(&mut self, send: &Send, maker: Acquisition, reply: Reply<u64>) -> Stage {
         let own = |claim: &Claim| claim.incarnation == send.incarnation;
         let progress = match (self.method, &reply) {
-            (Method::AssumeWritten, Reply::Lost) => Progress::End(Held::Ours(0)),
+            (Method::AssumeWritten, Reply::Lost) => Action::Finish(Outcome::Acquired(0)),
             (Method::TrustOwnClaim, Reply::Found(Some((claim, revision)))) if own(claim) => {
-                Progress::End(Held::Ours(*revision))
+                Action::Finish(Outcome::Acquired(*revision))
             }
-            _ => maker.next(reply, Time::ZERO),
+            _ => maker.handle(reply, Time::ZERO),
         };
         match progress {
-            Progress::Call(call) => Stage::Calling(maker, call),
-            Progress::End(held) => {
-                let revision = if let Held::Ours(revision) = held { revision } else { 0 };
-                match self.nodes[send.node].1.claimed(send.key, held, Time::ZERO) {
-                    Step::Run => Stage::Ready(revision),
-                    Step::Claim | Step::Replay(_) | Step::Refuse(_) => Stage::Over,
+            Action::Call(call) => Stage::Calling(maker, call),
+            Action::Finish(held) => {
+                let revision = if let Outcome::Acquired(revision) = held { revision } else { 0 };
+                match self.nodes[send.node].1.finish_claim(send.key, held, Time::ZERO) {
+                    Admission::Run => Stage::Ready(revision),
+                    Admission::Claim | Admission::Replay(_) | Admission::Refuse(_) => Stage::Over,
                 }
             }
         }
@@ -220,20 +221,20 @@
     /// The backend server runs the request, loses it, or sheds it.
     fn run(&mut self, send: &Send, revision: u64, fault: Fault, ending: u8) -> Stage {
         if ending % 3 == 2 {
-            let release = self.nodes[send.node].1.failed(send.key, Kind::Shed, Time::ZERO);
+            let release = self.nodes[send.node].1.record_failure(send.key, Kind::Shed, Time::ZERO);
             assert!(release, "a claim that never ran is released");
             let deleted = self.write(Change::delete(&key::claim(send.key), revision), fault);
             if matches!(deleted, Reply::Written(_)) {
-                self.nodes[send.node].1.released(send.key);
+                self.nodes[send.node].1.record_release(send.key);
             }
             return Stage::Over;
         }
         *self.runs.entry(send.key).or_default() += 1;
         let ledger = &mut self.nodes[send.node].1;
         if ending.is_multiple_of(3) {
-            ledger.ran(send.key, 1, 10, Time::ZERO);
+            ledger.record_answer(send.key, 1, 10, Time::ZERO);
         } else {
-            ledger.failed(send.key, Kind::BackendLost, Time::ZERO);
+            ledger.record_failure(send.key, Kind::BackendLost, Time::ZERO);
         }
         Stage::Over
     }
--- a/crates/ledger/tests/table.rs
+++ b/crates/ledger/tests/table.rs
@@ -4,57 +4,57 @@
 
 use base::error::Kind;
 use base::time::Time;
-use ledger::kept::Kept;
-use ledger::make::{Held, Word};
-use ledger::table::{Ledger, Limits, Step};
+use ledger::acquire::{Outcome, Status};
+use ledger::cache::Cache;
+use ledger::table::{Admission, Ledger, Limits};
 use rstest::rstest;
 
 const KEY: u128 = 5;
 const FINGERPRINT: u64 = 9;
 const NOW: Time = Time::from_millis(1_000);
-const LIMITS: Limits = Limits { kept: Duration::from_secs(10), session_keys: 2, answer_bytes: 100 };
+const LIMITS: Limits = Limits { retention: Duration::from_secs(10), max_session_keys: 2, max_answer_bytes: 100 };
 
 fn running() -> Ledger<u32> {
     let mut ledger = Ledger::new(LIMITS);
-    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Step::Claim);
-    ledger.claiming(KEY);
-    assert_eq!(ledger.claimed(KEY, Held::Ours(1), NOW), Step::Run);
+    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Admission::Claim);
+    ledger.record_claim_sent(KEY);
+    assert_eq!(ledger.finish_claim(KEY, Outcome::Acquired(1), NOW), Admission::Run);
     ledger
 }
 
 #[rstest]
-#[case::won(Held::Ours(3), Step::Run)]
-#[case::ran_elsewhere(Held::Ran(7), Step::Replay(7))]
-#[case::runs_elsewhere(Held::Busy, Step::Refuse(Kind::StillRunning))]
-#[case::claimant_gone(Held::Taken, Step::Refuse(Kind::AlreadyClaimed))]
-#[case::another_request(Held::Reused, Step::Refuse(Kind::KeyReused))]
-#[case::store_down(Held::Silent, Step::Refuse(Kind::ClaimUnavailable))]
-fn a_claim_comes_to(#[case] held: Held<u32>, #[case] step: Step<u32>) {
+#[case::won(Outcome::Acquired(3), Admission::Run)]
+#[case::ran_elsewhere(Outcome::Ran(7), Admission::Replay(7))]
+#[case::runs_elsewhere(Outcome::Running, Admission::Refuse(Kind::StillRunning))]
+#[case::claimant_gone(Outcome::Unknown, Admission::Refuse(Kind::AlreadyClaimed))]
+#[case::another_request(Outcome::KeyReused, Admission::Refuse(Kind::KeyReused))]
+#[case::store_down(Outcome::Unavailable, Admission::Refuse(Kind::ClaimUnavailable))]
+fn a_claim_comes_to(#[case] held: Outcome<u32>, #[case] step: Admission<u32>) {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(KEY, FINGERPRINT, false, NOW);
-    ledger.claiming(KEY);
-    assert_eq!(ledger.claimed(KEY, held, NOW), step);
+    ledger.record_claim_sent(KEY);
+    assert_eq!(ledger.finish_claim(KEY, held, NOW), step);
 }
 
 #[test]
 fn a_resend_while_running_waits() {
     let mut ledger = running();
-    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Step::Refuse(Kind::StillRunning));
-    assert_eq!(ledger.word(KEY, NOW), Word::Running);
+    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Admission::Refuse(Kind::StillRunning));
+    assert_eq!(ledger.status(KEY, NOW), Status::Running);
 }
 
 #[test]
 fn a_resend_after_success_gets_the_same_answer() {
     let mut ledger = running();
-    ledger.ran(KEY, 42, 10, NOW);
-    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Step::Replay(42));
-    assert_eq!(ledger.word(KEY, NOW), Word::Ran(42));
+    ledger.record_answer(KEY, 42, 10, NOW);
+    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Admission::Replay(42));
+    assert_eq!(ledger.status(KEY, NOW), Status::Ran(42));
 }
 
 #[test]
 fn a_key_reused_for_another_request_is_refused() {
     let mut ledger = running();
-    assert_eq!(ledger.begin(KEY, FINGERPRINT + 1, false, NOW), Step::Refuse(Kind::KeyReused));
+    assert_eq!(ledger.begin(KEY, FINGERPRINT + 1, false, NOW), Admission::Refuse(Kind::KeyReused));
 }
 
 #[rstest]
@@ -64,32 +64,32 @@
 #[case(Kind::AnswerTooLarge)]
 fn an_unknown_outcome_is_never_run_again(#[case] kind: Kind) {
     let mut ledger = running();
-    assert!(!ledger.failed(KEY, kind, NOW), "its claim must stay");
-    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Step::Refuse(Kind::AlreadyClaimed));
-    assert_eq!(ledger.word(KEY, NOW), Word::Unknown);
+    assert!(!ledger.record_failure(KEY, kind, NOW), "its claim must stay");
+    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Admission::Refuse(Kind::AlreadyClaimed));
+    assert_eq!(ledger.status(KEY, NOW), Status::Unknown);
 }
 
 #[test]
 fn an_order_that_never_ran_may_be_sent_again() {
     let mut ledger = running();
-    assert!(ledger.failed(KEY, Kind::Shed, NOW), "its claim must go");
-    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Step::Claim);
+    assert!(ledger.record_failure(KEY, Kind::Shed, NOW), "its claim must go");
+    assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Admission::Claim);
 }
 
 #[test]
 fn a_session_needs_no_store_and_is_bounded() {
     let mut ledger = Ledger::<u32>::new(LIMITS);
-    assert_eq!(ledger.begin(1, FINGERPRINT, true, NOW), Step::Run);
-    assert_eq!(ledger.begin(2, FINGERPRINT, true, NOW), Step::Run);
-    ledger.ran(1, 1, 10, NOW);
-    assert_eq!(ledger.begin(3, FINGERPRINT, true, NOW), Step::Refuse(Kind::ClaimUnavailable));
-    let later = NOW + LIMITS.kept;
-    assert_eq!(ledger.begin(3, FINGERPRINT, true, later), Step::Run);
+    assert_eq!(ledger.begin(1, FINGERPRINT, true, NOW), Admission::Run);
+    assert_eq!(ledger.begin(2, FINGERPRINT, true, NOW), Admission::Run);
+    ledger.record_answer(1, 1, 10, NOW);
+    assert_eq!(ledger.begin(3, FINGERPRINT, true, NOW), Admission::Refuse(Kind::ClaimUnavailable));
+    let later = NOW + LIMITS.retention;
+    assert_eq!(ledger.begin(3, FINGERPRINT, true, later), Admission::Run);
 }
 
 #[test]
 fn kept_answers_stay_within_their_bound() {
-    let mut kept = Kept::new(100);
+    let mut kept = Cache::new(100);
     for key in 0..50 {
         kept.put(key, key, 30);
         assert!(kept.bytes() <= 100);
--- a/crates/replay/src/world/news.rs
+++ b/crates/replay/src/world/news.rs
@@ -84,7 +84,7 @@
                     site.servers.iter().filter(|server| server.region == *region).map(|server| server.slots).sum();
                 let cap = site.policy.link_cap(&entry.region, region).unwrap_or(0.0);
                 let allowed = grant::allowance(slots, site.regions.len() - 1, cap, share);
-                let remote = Remote { limit: allowed.requests, bytes_per_second: allowed.bytes_per_second };
+                let remote = Remote { limit: allowed.max_requests, bytes_per_second: allowed.bytes_per_second };
                 self.engines[index].set_remote(position as u16, remote, now);
             }
             self.engines[index].set_backends(specs, now);
@@ -101,8 +101,8 @@
             let slots: u32 = inside.clone().map(|index| self.site.servers[index].slots).sum();
             let busy: usize = inside.map(|index| self.servers[index].busy()).sum();
             let at = if self.reports { at } else { Time::ZERO };
-            let gone = self.known_gone.contains(name);
-            Load { busy: busy as f64, slots: f64::from(slots), at, drained: false, gone }
+            let down = self.known_gone.contains(name);
+            Load { busy: busy as f64, slots: f64::from(slots), at, drained: false, down }
         };
         let loads: Vec<Load> = self.site.regions.iter().map(load).collect();
         self.controller.update(&loads, self.now);
--- a/crates/size/src/membership.rs
+++ b/crates/size/src/membership.rs
@@ -5,7 +5,7 @@
 
 use base::time::Time;
 use fleet::message::{Message, Record, State};
-use fleet::roster::{Roster, Times};
+use fleet::roster::{Roster, Timeouts};
 
 use crate::probe::{line, nanos, resident};
 
@@ -31,16 +31,16 @@
     Record {
         name: format!("entry-{number:05}"),
         incarnation: 1_790_000_000_000 + number as u64,
-        beat: 0,
+        refutations: 0,
         state: State::Alive,
-        peers: format!("10.0.{}.{}:7200", number / 250, number % 250),
+        peer_address: format!("10.0.{}.{}:7200", number / 250, number % 250),
         domain: format!("domain-{:02}", number % DOMAINS),
-        callers: String::new(),
+        caller_address: String::new(),
     }
 }
 
 fn roster(number: usize, count: usize) -> Roster {
-    let mut roster = Roster::new(record(number), Times { suspect: Duration::from_secs(3) }, number as u64);
+    let mut roster = Roster::new(record(number), Timeouts { suspect: Duration::from_secs(3) }, number as u64);
     let records = (0..count).filter(|other| *other != number).map(record).collect();
     let message = Message {
         from: record((number + 1) % count),
@@ -84,7 +84,7 @@
         for number in 0..self.rosters.len() {
             if self.next[number] <= self.now {
                 self.next[number] = self.now + EXCHANGE;
-                let target = self.rosters[number].target(self.now);
+                let target = self.rosters[number].next_target(self.now);
                 let peer = target.and_then(|(name, _)| self.index.get(&name).copied());
                 peer.into_iter().for_each(|peer| self.exchange(number, peer));
             }
@@ -111,7 +111,7 @@
     }
 
     fn tell(&mut self, daemon: usize) {
-        for (name, _) in self.rosters[daemon].some(FANOUT) {
+        for (name, _) in self.rosters[daemon].random_members(FANOUT) {
             if let Some(other) = self.index.get(&name).copied() {
                 self.exchange(daemon, other);
             }
@@ -151,7 +151,7 @@
             peer.merge(&message, now);
             let answer = peer.message(1, now);
             own.merge(&answer, now);
-            own.target(now)
+            own.next_target(now)
         };
         line("membership, one exchange at both ends", count, nanos(500, one) / 1e3, "us");
     }
--- a/crates/size/src/policies.rs
+++ b/crates/size/src/policies.rs
@@ -1,8 +1,8 @@
 //! Slopes of the policy: sites and drains in one document.
 
 use config::policy::{Class, Drain, Link, Policy, Region, Scope};
-use fleet::Copy;
-use fleet::copy::Holder;
+use fleet::Document;
+use fleet::replica::Replica;
 
 use crate::probe::{line, nanos};
 
@@ -46,8 +46,8 @@
         let size = format!("{regions}/{domains}/{drains}");
         line("policy, size", &size, text.len() as f64, "bytes");
         let take = |call: u32| {
-            let mut holder = Holder::new();
-            holder.offer(Copy::new(u64::from(call) + 1, text.clone())).is_ok()
+            let mut holder = Replica::new();
+            holder.apply(Document::new(u64::from(call) + 1, text.clone())).is_ok()
         };
         line("policy, check and put into force", &size, nanos(50, take) / 1e3, "us");
     }
--- a/crates/steer/src/answer.rs
+++ b/crates/steer/src/answer.rs
@@ -66,7 +66,7 @@
     let start = (block % u64::from(regions.max(1))) as RegionId;
     for step in 0..regions {
         let region = (start + step) % regions;
-        if region == used || !shares.open(region) {
+        if region == used || !shares.accepts_callers(region) {
             continue;
         }
         if let Some(position) = view.ranked(region, block).next() {
@@ -85,11 +85,11 @@
 
 /// `wanted`, or the next region that has an entry instance.
 fn first_with(view: &View, wanted: RegionId, block: u64) -> Option<RegionId> {
-    if view.has(wanted) {
+    if view.has_entries(wanted) {
         return Some(wanted);
     }
     let regions = view.regions() as RegionId;
     let start = (block >> 32) as RegionId;
     let others = (0..regions).map(|step| start.wrapping_add(step) % regions.max(1));
-    others.into_iter().find(|region| view.has(*region))
+    others.into_iter().find(|region| view.has_entries(*region))
 }
--- a/crates/steer/src/grant.rs
+++ b/crates/steer/src/grant.rs
@@ -13,13 +13,13 @@
 /// Slots of a region; a daemon at most needs one, so this bounds the entry instances that share links.
 pub const SLOTS: u32 = 256;
 /// Time to live of a holder's lease: longer than an outage of the store that we go on through.
-pub const LEASE: Duration = Duration::from_hours(2);
+pub const LEASE_TTL: Duration = Duration::from_hours(2);
 /// Part of the lease in which slots are used; the rest covers clocks that run at different speeds.
 const USED_PART: f64 = 0.9;
 /// Time between renewals.
-pub const RENEWAL: Duration = Duration::from_mins(15);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_mins(15);
 /// Time between looks for a fairer part.
-pub const REVIEW: Duration = Duration::from_secs(30);
+pub const REBALANCE_INTERVAL: Duration = Duration::from_secs(30);
 /// Time until the next look when the last one did not give what was wanted.
 const RETRY: Duration = Duration::from_secs(4);
 
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
     /// Requests in flight there at most.
-    pub requests: u32,
+    pub max_requests: u32,
     /// Bytes a second over the link.
     pub bytes_per_second: f64,
 }
@@ -43,27 +43,27 @@
 /// Summed over all daemons, requests stay within half of the slots and bytes below the cap.
 pub fn allowance(slots: u32, sources: usize, cap: f64, share: f64) -> Allowance {
     let requests = f64::from(slots) * REMOTE_PART / sources.max(1) as f64 * share;
-    Allowance { requests: requests.floor() as u32, bytes_per_second: cap * LINK_PART * share }
+    Allowance { max_requests: requests.floor() as u32, bytes_per_second: cap * LINK_PART * share }
 }
 
 /// What a keeper wants done at the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Plan {
     /// Nothing now.
-    Rest,
+    Wait,
     /// Make a lease.
-    Lease,
+    CreateLease,
     /// Renew the lease.
-    Renew,
+    RenewLease,
     /// List the region's slots and take so many free ones.
-    Take(u32),
+    Acquire(u32),
     /// Give back these slots, by number with their revisions.
-    Drop(Vec<(u32, u64)>),
+    Release(Vec<(u32, u64)>),
 }
 
 /// Looks after one daemon's slots.
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct Manager {
     held: BTreeMap<u32, u64>,
     leased: bool,
     valid_until: Time,
@@ -74,13 +74,13 @@
     live: usize,
 }
 
-impl Default for Keeper {
+impl Default for Manager {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Keeper {
+impl Manager {
     /// A keeper that holds nothing.
     pub const fn new() -> Self {
         Self {
@@ -109,31 +109,31 @@
     /// What to do at `now`, with `live` entry instances sharing the region.
     pub fn plan(&mut self, live: usize, now: Time) -> Plan {
         if self.leased && now >= self.valid_until {
-            self.lost();
+            self.record_lease_lost();
         }
         if !self.leased {
-            return Plan::Lease;
+            return Plan::CreateLease;
         }
-        if now.since(self.renewed) >= RENEWAL {
-            return Plan::Renew;
+        if now.since(self.renewed) >= RENEWAL_INTERVAL {
+            return Plan::RenewLease;
         }
         if now < self.next_review && live == self.live {
-            return Plan::Rest;
+            return Plan::Wait;
         }
-        self.next_review = now + REVIEW;
+        self.next_review = now + REBALANCE_INTERVAL;
         self.live = live;
         self.balance(live)
     }
 
     /// A lease was made or renewed; `asked` is the time before the call was sent.
-    pub fn leased(&mut self, asked: Time) {
+    pub fn record_lease(&mut self, asked: Time) {
         self.leased = true;
         self.renewed = asked;
-        self.valid_until = self.valid_until.max(asked + LEASE.mul_f64(USED_PART));
+        self.valid_until = self.valid_until.max(asked + LEASE_TTL.mul_f64(USED_PART));
     }
 
     /// The lease is gone: nothing is held.
-    pub fn lost(&mut self) {
+    pub fn record_lease_lost(&mut self) {
         self.held.clear();
         self.leased = false;
         self.valid_until = Time::ZERO;
@@ -141,19 +141,19 @@
     }
 
     /// The last look did not give what was wanted: another daemon was faster, or holds too much yet.
-    pub fn retry(&mut self, now: Time) {
+    pub fn retry_soon(&mut self, now: Time) {
         self.next_review = now + RETRY;
     }
 
     /// The store says that slot `number` is ours, at `revision`.
-    pub fn took(&mut self, number: u32, revision: u64) {
+    pub fn record_acquired(&mut self, number: u32, revision: u64) {
         if self.leased {
             self.held.insert(number, revision);
         }
     }
 
     /// Stops using slot `number`; called before the store is told.
-    pub fn dropped(&mut self, number: u32) {
+    pub fn record_released(&mut self, number: u32) {
         self.held.remove(&number);
     }
 
@@ -161,12 +161,12 @@
         let fair = (SLOTS / live.max(1) as u32).max(1);
         let held = self.held.len() as u32;
         if held < fair {
-            return Plan::Take(fair - held);
+            return Plan::Acquire(fair - held);
         }
         let extra = (held - fair) as usize;
         if extra == 0 {
-            return Plan::Rest;
+            return Plan::Wait;
         }
-        Plan::Drop(self.held.iter().rev().take(extra).map(|(number, revision)| (*number, *revision)).collect())
+        Plan::Release(self.held.iter().rev().take(extra).map(|(number, revision)| (*number, *revision)).collect())
     }
 }
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -4,8 +4,8 @@
 //! All of it is pure: input and the present time go in, a decision comes out.
 
 pub mod answer;
+pub mod by_region;
 pub mod grant;
-pub mod near;
 pub mod shift;
 pub mod table;
 pub mod view;
--- a/crates/steer/src/shift.rs
+++ b/crates/steer/src/shift.rs
@@ -15,11 +15,11 @@
 /// Load below which a region takes its callers back.
 pub const LOW_WATER: f64 = 0.60;
 /// Largest part of a region's callers moved in one step.
-pub const STEP: f64 = 0.05;
+pub const MAX_STEP: f64 = 0.05;
 /// Time over which a drained region loses its callers, and a returning one regains them.
-pub const RAMP: Duration = Duration::from_secs(20);
+pub const RAMP_TIME: Duration = Duration::from_secs(20);
 /// Age beyond which a load report moves nothing.
-pub const STALE: Duration = Duration::from_secs(15);
+pub const MAX_REPORT_AGE: Duration = Duration::from_secs(15);
 
 /// What is known of a region's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -33,7 +33,7 @@
     /// Whether the region is drained.
     pub drained: bool,
     /// Whether none of its entry instances serves.
-    pub gone: bool,
+    pub down: bool,
 }
 
 impl Load {
@@ -42,12 +42,12 @@
     }
 
     fn fresh(&self, now: Time) -> bool {
-        now.since(self.at) <= STALE
+        now.since(self.at) <= MAX_REPORT_AGE
     }
 
     /// Slots below the high-water mark that nobody uses.
     fn spare(&self, now: Time) -> f64 {
-        if self.drained || self.gone || !self.fresh(now) {
+        if self.drained || self.down || !self.fresh(now) {
             return 0.0;
         }
         (self.slots * HIGH_WATER - self.busy).max(0.0)
@@ -88,12 +88,12 @@
     }
 
     /// Whether callers of other regions may be sent to `region`.
-    pub fn open(&self, region: RegionId) -> bool {
+    pub fn accepts_callers(&self, region: RegionId) -> bool {
         self.open.get(usize::from(region)).copied().unwrap_or(false)
     }
 
     /// The part of `from`'s callers that goes to `to`.
-    pub fn part(&self, from: RegionId, to: RegionId) -> f64 {
+    pub fn share(&self, from: RegionId, to: RegionId) -> f64 {
         self.parts.get(usize::from(from)).and_then(|row| row.get(usize::from(to))).copied().unwrap_or(0.0)
     }
 }
@@ -133,7 +133,7 @@
     /// A controller for `regions` regions whose callers keep answers for `kept`.
     pub fn new(regions: usize, kept: Duration, now: Time) -> Self {
         let region = Region { stepped: now, updated: now, ..Region::default() };
-        Self { regions: vec![region; regions], shares: Shares::home(regions), settle: kept + STALE }
+        Self { regions: vec![region; regions], shares: Shares::home(regions), settle: kept + MAX_REPORT_AGE }
     }
 
     /// The shares in force.
@@ -147,7 +147,7 @@
             self.step_drain(from, &loads[from], now);
             self.step_load(from, loads, now);
         }
-        let open = |load: &Load| !load.drained && !load.gone && (!load.fresh(now) || load.share() < HIGH_WATER);
+        let open = |load: &Load| !load.drained && !load.down && (!load.fresh(now) || load.share() < HIGH_WATER);
         self.shares.open = loads.iter().map(open).collect();
         for from in 0..self.regions.len().min(loads.len()) {
             self.shares.parts[from] = self.row(from, loads, now);
@@ -158,10 +158,10 @@
     /// one that is gone has lost them.
     fn step_drain(&mut self, from: usize, load: &Load, now: Time) {
         let region = &mut self.regions[from];
-        let change = now.since(region.updated).as_secs_f64() / RAMP.as_secs_f64();
+        let change = now.since(region.updated).as_secs_f64() / RAMP_TIME.as_secs_f64();
         region.updated = now;
         let signed = if load.drained { change } else { -change };
-        region.drained = if load.gone { 1.0 } else { (region.drained + signed).clamp(0.0, 1.0) };
+        region.drained = if load.down { 1.0 } else { (region.drained + signed).clamp(0.0, 1.0) };
     }
 
     fn step_load(&mut self, from: usize, loads: &[Load], now: Time) {
@@ -177,10 +177,10 @@
             }
             let others_full = rooms(from, loads, now).iter().sum::<f64>() <= 0.0;
             let most = if others_full { region.moved } else { region.most() };
-            region.moved = (region.moved + STEP).min(most);
+            region.moved = (region.moved + MAX_STEP).min(most);
             region.stepped = now;
         } else if load.share() < LOW_WATER && region.moved > 0.0 {
-            region.moved = (region.moved - STEP).max(0.0);
+            region.moved = (region.moved - MAX_STEP).max(0.0);
             region.stepped = now;
         }
     }
@@ -191,7 +191,7 @@
         let mut row = vec![0.0; loads.len()];
         if region.drained > region.moved {
             let spare = rooms(from, loads, now);
-            let open = |to: usize| f64::from(u8::from(to != from && !loads[to].drained && !loads[to].gone));
+            let open = |to: usize| f64::from(u8::from(to != from && !loads[to].drained && !loads[to].down));
             let even: Vec<f64> = (0..loads.len()).map(open).collect();
             let known = spare.iter().sum::<f64>() > 0.0;
             spread(&mut row, region.drained, if known { &spare } else { &even });
@@ -200,7 +200,7 @@
                 .room
                 .iter()
                 .zip(loads)
-                .map(|(room, load)| if load.drained || load.gone { 0.0 } else { *room })
+                .map(|(room, load)| if load.drained || load.down { 0.0 } else { *room })
                 .collect();
             // What a drained region was to take stays at home.
             let left = open.iter().sum::<f64>() / region.room.iter().sum::<f64>().max(f64::EPSILON);
--- a/crates/steer/src/view.rs
+++ b/crates/steer/src/view.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether a region has an entry instance to name.
-    pub fn has(&self, region: RegionId) -> bool {
+    pub fn has_entries(&self, region: RegionId) -> bool {
         let lists = self.lists.get(usize::from(region));
         lists.and_then(|lists| lists.first()).is_some_and(|list| list[0] != NONE)
     }
--- a/crates/steer/tests/answers.rs
+++ b/crates/steer/tests/answers.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use steer::answer::look_up;
-use steer::shift::{Controller, HIGH_WATER, Load, RAMP, Shares};
+use steer::shift::{Controller, HIGH_WATER, Load, RAMP_TIME, Shares};
 use steer::table::{Block, Table};
 use steer::view::{Entry, Standing, View};
 
@@ -104,7 +104,7 @@
 }
 
 fn load(busy: f64, drained: bool, now: Time) -> Load {
-    Load { busy, slots: 100.0, at: now, drained, gone: false }
+    Load { busy, slots: 100.0, at: now, drained, down: false }
 }
 
 /// Runs a controller for `seconds` on what `busy` says.
@@ -119,10 +119,10 @@
 fn a_drained_region_loses_its_callers_step_by_step() {
     let mut controller = Controller::new(3, KEPT, START);
     let mut last = 1.0;
-    for second in 0..=RAMP.as_secs() {
+    for second in 0..=RAMP_TIME.as_secs() {
         let now = START + Duration::from_secs(second);
         controller.update(&[load(10.0, true, now), load(10.0, false, now), load(10.0, false, now)], now);
-        let home = controller.shares().part(0, 0);
+        let home = controller.shares().share(0, 0);
         assert!(last - home <= 0.06, "no more than a twentieth moves in a second");
         last = home;
     }
@@ -137,7 +137,7 @@
     let mut controller = Controller::new(3, KEPT, START);
     run(&mut controller, 0, 600, |now| vec![load(95.0, false, now), load(95.0, false, now), load(70.0, false, now)]);
     let shares = controller.shares();
-    let arrived = 95.0 * shares.part(0, 2) + 95.0 * shares.part(1, 2);
+    let arrived = 95.0 * shares.share(0, 2) + 95.0 * shares.share(1, 2);
     assert!(arrived <= 100.0 - 70.0, "{arrived} slots' worth of work was sent to 30 free ones");
     assert!(arrived > 1.0, "some of the excess moves");
 }
@@ -157,7 +157,7 @@
     run(&mut controller, 100, 300, |_| {
         vec![load(95.0, false, START), load(10.0, false, START), load(10.0, false, START)]
     });
-    assert!((controller.shares().part(0, 0) - 1.0).abs() < 1e-9);
+    assert!((controller.shares().share(0, 0) - 1.0).abs() < 1e-9);
 }
 
 #[test]
@@ -165,12 +165,12 @@
     let mut controller = Controller::new(3, KEPT, START);
     let hot = |now| vec![load(95.0, false, now), load(10.0, false, now), load(10.0, false, now)];
     run(&mut controller, 0, 200, hot);
-    let moved = 1.0 - controller.shares().part(0, 0);
+    let moved = 1.0 - controller.shares().share(0, 0);
     assert!(moved > 0.1, "{moved} moved");
     run(&mut controller, 200, 20, |now| vec![load(HIGH_WATER * 90.0, false, now); 3]);
-    assert!((1.0 - controller.shares().part(0, 0) - moved).abs() < 0.051, "no swing back between the marks");
+    assert!((1.0 - controller.shares().share(0, 0) - moved).abs() < 0.051, "no swing back between the marks");
     run(&mut controller, 220, 600, |now| vec![load(30.0, false, now); 3]);
-    assert!((controller.shares().part(0, 0) - 1.0).abs() < 1e-9);
+    assert!((controller.shares().share(0, 0) - 1.0).abs() < 1e-9);
 }
 
 proptest! {
@@ -209,14 +209,14 @@
     let mut controller = Controller::new(3, KEPT, START);
     let loads = |now, gone| {
         let mut loads = vec![load(10.0, false, now); 3];
-        loads[0].gone = gone;
+        loads[0].down = gone;
         loads
     };
     run(&mut controller, 0, 5, |now| loads(now, true));
-    assert!(controller.shares().part(0, 0) < 1e-9, "a region that is gone has no callers");
+    assert!(controller.shares().share(0, 0) < 1e-9, "a region that is gone has no callers");
     run(&mut controller, 5, 1, |now| loads(now, false));
-    let first = controller.shares().part(0, 0);
+    let first = controller.shares().share(0, 0);
     assert!(first > 0.0 && first < 0.06, "{first} of the callers come back in the first second");
-    run(&mut controller, 6, RAMP.as_secs(), |now| loads(now, false));
-    assert!((controller.shares().part(0, 0) - 1.0).abs() < 1e-9);
+    run(&mut controller, 6, RAMP_TIME.as_secs(), |now| loads(now, false));
+    assert!((controller.shares().share(0, 0) - 1.0).abs() < 1e-9);
 }
--- a/crates/steer/tests/grants.rs
+++ b/crates/steer/tests/grants.rs
@@ -7,7 +7,7 @@
 use fakes::state::State;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use steer::grant::{Keeper, LEASE, Plan, SLOTS};
+use steer::grant::{LEASE_TTL, Manager, Plan, SLOTS};
 use store::{Change, Commit, Lease, key};
 
 const DAEMONS: usize = 4;
@@ -32,7 +32,7 @@
 }
 
 struct Daemon {
-    keeper: Keeper,
+    keeper: Manager,
     lease: Option<Lease>,
     token: u64,
 }
@@ -49,7 +49,7 @@
 
 impl World {
     fn new(fenced: bool) -> Self {
-        let daemon = |token| Daemon { keeper: Keeper::new(), lease: None, token };
+        let daemon = |token| Daemon { keeper: Manager::new(), lease: None, token };
         let daemons = (0..DAEMONS as u64).map(daemon).collect();
         Self { store: State::new(), daemons, late: Vec::new(), now: Time::from_millis(1), tokens: 100, fenced }
     }
@@ -66,7 +66,7 @@
             }
             Event::Restart(which) => {
                 self.tokens += 1;
-                self.daemons[which] = Daemon { keeper: Keeper::new(), lease: None, token: self.tokens };
+                self.daemons[which] = Daemon { keeper: Manager::new(), lease: None, token: self.tokens };
             }
         }
     }
@@ -76,22 +76,22 @@
         let plan = self.daemons[which].keeper.plan(live, now);
         let lease = self.daemons[which].lease;
         match (plan, lease) {
-            (Plan::Rest, _) => {}
-            (Plan::Lease, _) | (_, None) => {
+            (Plan::Wait, _) => {}
+            (Plan::CreateLease, _) | (_, None) => {
                 if fault == Fault::None {
-                    self.daemons[which].lease = Some(self.store.grant(LEASE, now));
-                    self.daemons[which].keeper.leased(now);
+                    self.daemons[which].lease = Some(self.store.grant(LEASE_TTL, now));
+                    self.daemons[which].keeper.record_lease(now);
                 }
             }
-            (Plan::Renew, Some(lease)) => match (fault, self.store.renew(lease, now)) {
-                (Fault::None, true) => self.daemons[which].keeper.leased(now),
-                (Fault::None, false) => self.daemons[which].keeper.lost(),
+            (Plan::RenewLease, Some(lease)) => match (fault, self.store.renew(lease, now)) {
+                (Fault::None, true) => self.daemons[which].keeper.record_lease(now),
+                (Fault::None, false) => self.daemons[which].keeper.record_lease_lost(),
                 _ => {}
             },
-            (Plan::Take(count), Some(lease)) => self.take(which, lease, count, fault),
-            (Plan::Drop(slots), Some(_)) => {
+            (Plan::Acquire(count), Some(lease)) => self.take(which, lease, count, fault),
+            (Plan::Release(slots), Some(_)) => {
                 for (number, _) in &slots {
-                    self.daemons[which].keeper.dropped(*number);
+                    self.daemons[which].keeper.record_released(*number);
                 }
                 let delete = |(number, revision): &(u32, u64)| Change::delete(&key::grant(REGION, *number), *revision);
                 self.commit(slots.iter().map(delete).collect(), fault);
@@ -122,11 +122,11 @@
         let changes: Vec<Change> = wanted.iter().map(set).collect();
         if changes.is_empty() {
             let now = self.now;
-            return self.daemons[which].keeper.retry(now);
+            return self.daemons[which].keeper.retry_soon(now);
         }
         if let Some(revision) = self.commit(changes, fault) {
             for (slot, _) in wanted {
-                self.daemons[which].keeper.took(slot, revision);
+                self.daemons[which].keeper.record_acquired(slot, revision);
             }
         }
     }
