--- a/crates/base/src/instance.rs
+++ b/crates/base/src/instance.rs
@@ -52,8 +52,8 @@
     pub connections: u32,
     /// Start of a backend server's process, in milliseconds of the calendar; zero if that is not told. One that
     /// starts again under its name is another server.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub born: u64,
+    #[serde(default, rename = "born", skip_serializing_if = "is_zero")]
+    pub started_at: u64,
     /// What the list says of it.
     pub state: State,
 }
--- a/crates/base/src/stall.rs
+++ b/crates/base/src/stall.rs
@@ -7,24 +7,24 @@
 use crate::time::Time;
 
 /// Time between two signs of life that is no stall.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_GAP: Duration = Duration::from_secs(1);
 
 /// The last sign of life.
 #[derive(Debug, Clone, Copy)]
-pub struct Stall {
+pub struct Detector {
     seen: Time,
 }
 
-impl Stall {
+impl Detector {
     /// A process that lives at `now`.
     pub const fn new(now: Time) -> Self {
         Self { seen: now }
     }
 
     /// A sign of life at `now`; gives how long the process stood still before it, if it did.
-    pub fn beat(&mut self, now: Time) -> Option<Duration> {
+    pub fn observe(&mut self, now: Time) -> Option<Duration> {
         let passed = now.since(self.seen);
         self.seen = self.seen.max(now);
-        (passed > LONGEST).then_some(passed)
+        (passed > MAX_GAP).then_some(passed)
     }
 }
--- a/crates/burn/src/page.rs
+++ b/crates/burn/src/page.rs
@@ -34,7 +34,7 @@
 
 fn row(line: &Line) -> String {
     let total = line.windows.last().map_or(0, |count| count.total);
-    let rates: String = WINDOWS_S.iter().map(|seconds| format!("<td>{:.2}</td>", line.rate(*seconds))).collect();
+    let rates: String = WINDOWS_S.iter().map(|seconds| format!("<td>{:.2}</td>", line.burn_rate(*seconds))).collect();
     let alerts = line.alerts().join(" ");
     let target = line.target_share * 100.0;
     let (class, region) = (escape(&line.class), escape(&line.region));
@@ -48,11 +48,11 @@
 fn plot(line: &Line) -> String {
     let minutes = line.minutes.len().max(1) as f64;
     let budget = 1.0 - line.target_share;
-    let worst = line.minutes.iter().map(|count| count.bad_part()).fold(budget * 2.0, f64::max);
+    let worst = line.minutes.iter().map(|count| count.bad_ratio()).fold(budget * 2.0, f64::max);
     let bar = WIDTH / minutes;
     let mut bars = String::new();
     for (age, count) in line.minutes.iter().enumerate() {
-        let height = HEIGHT * count.bad_part() / worst;
+        let height = HEIGHT * count.bad_ratio() / worst;
         let left = WIDTH - bar * (age as f64 + 1.0);
         let top = HEIGHT - height;
         let written = write!(
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -55,15 +55,15 @@
     }
 
     /// Burn rate over a window; 1 uses up the budget exactly over its period.
-    pub fn rate(&self, seconds: u64) -> f64 {
+    pub fn burn_rate(&self, seconds: u64) -> f64 {
         let index = WINDOWS_S.iter().position(|window| *window == seconds);
         let count = index.and_then(|index| self.windows.get(index)).copied().unwrap_or_default();
-        count.bad_part() / (1.0 - self.target_share).max(f64::EPSILON)
+        count.bad_ratio() / (1.0 - self.target_share).max(f64::EPSILON)
     }
 
     /// Names of the alerts that fire.
     pub fn alerts(&self) -> Vec<&'static str> {
-        let fires = |rule: &&Rule| self.rate(rule.long_s) > rule.rate && self.rate(rule.short_s) > rule.rate;
+        let fires = |rule: &&Rule| self.burn_rate(rule.long_s) > rule.rate && self.burn_rate(rule.short_s) > rule.rate;
         RULES.iter().filter(fires).map(|rule| rule.name).collect()
     }
 
@@ -106,7 +106,8 @@
         );
         for line in &self.lines {
             let total = line.windows.last().map_or(0, |count| count.total);
-            let rates: Vec<String> = WINDOWS_S.iter().map(|seconds| format!("{:>7.2}", line.rate(*seconds))).collect();
+            let rates: Vec<String> =
+                WINDOWS_S.iter().map(|seconds| format!("{:>7.2}", line.burn_rate(*seconds))).collect();
             let alerts = line.alerts().join(",");
             let alerts = if alerts.is_empty() { "-" } else { &alerts };
             let target = line.target_share * 100.0;
--- a/crates/burn/src/series.rs
+++ b/crates/burn/src/series.rs
@@ -6,11 +6,11 @@
 /// Length of a fine bucket, in seconds.
 pub const FINE_S: u64 = 60;
 /// Fine buckets kept: six hours.
-pub const FINE: usize = 360;
+pub const FINE_BUCKETS: usize = 360;
 /// Length of a coarse bucket, in seconds.
 pub const COARSE_S: u64 = 1_800;
 /// Coarse buckets kept: three days.
-pub const COARSE: usize = 144;
+pub const COARSE_BUCKETS: usize = 144;
 
 /// Answers counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
     }
 
     /// Part of the answers that were bad; zero without answers.
-    pub fn bad_part(self) -> f64 {
+    pub fn bad_ratio(self) -> f64 {
         if self.total == 0 {
             return 0.0;
         }
@@ -61,7 +61,7 @@
         (self.newest % length) as usize
     }
 
-    fn note(&mut self, good: bool, now: Time) {
+    fn record(&mut self, good: bool, now: Time) {
         let index = self.advance(now);
         self.counts[index].add(Count { good: u64::from(good), total: 1 });
     }
@@ -90,18 +90,18 @@
 impl Series {
     /// No answers yet.
     pub fn new() -> Self {
-        Self { fine: Ring::new(FINE_S, FINE), coarse: Ring::new(COARSE_S, COARSE) }
+        Self { fine: Ring::new(FINE_S, FINE_BUCKETS), coarse: Ring::new(COARSE_S, COARSE_BUCKETS) }
     }
 
     /// Counts one answer.
-    pub fn note(&mut self, good: bool, now: Time) {
-        self.fine.note(good, now);
-        self.coarse.note(good, now);
+    pub fn record(&mut self, good: bool, now: Time) {
+        self.fine.record(good, now);
+        self.coarse.record(good, now);
     }
 
     /// Answers of the last `seconds` seconds, to the nearest bucket.
     pub fn window(&mut self, seconds: u64, now: Time) -> Count {
-        let fine = seconds <= FINE_S * FINE as u64;
+        let fine = seconds <= FINE_S * FINE_BUCKETS as u64;
         let (ring, length) = if fine { (&mut self.fine, FINE_S) } else { (&mut self.coarse, COARSE_S) };
         let counts = ring.last(seconds.div_ceil(length) as usize, now);
         let mut sum = Count::default();
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -15,7 +15,7 @@
     let mut now = START;
     for second in 0..seconds {
         now = START + Duration::from_secs(second);
-        series.note(second % bad != 0, now);
+        series.record(second % bad != 0, now);
     }
     (series, now)
 }
--- a/crates/daemon/examples/prepare.rs
+++ b/crates/daemon/examples/prepare.rs
@@ -28,7 +28,7 @@
         operators: String::new(),
         slots: 3,
         connections: 0,
-        born: 1 + number as u64,
+        started_at: 1 + number as u64,
         state: State::Live,
     }
 }
--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -73,8 +73,8 @@
             target: &url,
             headers: &host(target.address),
             body: &Bytes::new(),
-            max_answer: 0,
-            room: &shared.answers,
+            max_answer_bytes: 0,
+            budget: &shared.answers,
         };
         let sent = async { Connection::open(target.address, SILENCE).await.ok()?.exchange(call, |_| true).await.ok() };
         if !matches!(tokio::time::timeout(CANCEL_TIMEOUT, sent).await, Ok(Some(_))) {
@@ -170,15 +170,15 @@
         target: &outgoing.target,
         headers: &headers,
         body: &outgoing.body,
-        max_answer: context.settings.dispatch.max_answer_bytes as usize,
-        room: &context.answers,
+        max_answer_bytes: context.settings.dispatch.max_answer_bytes as usize,
+        budget: &context.answers,
     };
     note_bytes(context, target, "sent", outgoing.body.len());
     let answer = connection.exchange(call, ours).await?;
     note_bytes(context, target, "received", answer.body.len());
     let named = !dialect.callers_id || answer.headers.contains_key(&dialect.request_id);
     if answer.reusable && (named || !answer.status.is_success()) {
-        context.pool.put(sending.backend, connection, answer.idle_limit(), context.now());
+        context.pool.put(sending.backend, connection, answer.keep_alive_timeout(), context.now());
     }
     Ok(answer)
 }
@@ -218,7 +218,7 @@
     let mut headers = HeaderMap::with_capacity(answer.headers.len());
     let inner = [&context.dialect.load, &context.dialect.cold_ms];
     let kept = |name: &http::HeaderName| {
-        *name != CONTENT_LENGTH && !head::is_hop(name.as_str()) && !inner.contains(&&Some(name.clone()))
+        *name != CONTENT_LENGTH && !head::is_hop_by_hop(name.as_str()) && !inner.contains(&&Some(name.clone()))
     };
     for (name, value) in answer.headers.iter().filter(|(name, _)| kept(name)) {
         headers.append(name, value.clone());
--- a/crates/daemon/src/backends/leaving.rs
+++ b/crates/daemon/src/backends/leaving.rs
@@ -34,7 +34,7 @@
 /// Notes that a server leaves; says whether that is news.
 pub fn note(context: &Arc<Context>, backend: BackendId) -> bool {
     let steering = context.steering();
-    let unborn = steering.backends.get(&backend).is_some_and(|instance| instance.born == 0);
+    let unborn = steering.backends.get(&backend).is_some_and(|instance| instance.started_at == 0);
     let now = context.now();
     let until = now + if unborn { LEAVES_UNBORN } else { LEAVES };
     context.driver.with(context, |engine| engine.note_leaving(backend, until, now))
--- a/crates/daemon/src/backends/probe.rs
+++ b/crates/daemon/src/backends/probe.rs
@@ -34,7 +34,7 @@
     age_ms: u64,
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     if context.catalog.is_some() {
         return Ok(Box::new(kernel::Idle));
     }
--- a/crates/daemon/src/callers/connection.rs
+++ b/crates/daemon/src/callers/connection.rs
@@ -103,19 +103,19 @@
 
     fn try_next(&mut self, buffer: &mut BytesMut) -> Result<Option<(head::Request, Bytes)>, Kind> {
         if self.partial.is_none() {
-            let Some(head) = head::Request::take(buffer, self.max_head).map_err(kind)? else {
+            let Some(head) = head::Request::parse(buffer, self.max_head).map_err(kind)? else {
                 return Ok(None);
             };
             self.partial = Some(self.start(head)?);
         }
         let Some(partial) = &mut self.partial else { return Ok(None) };
-        while let Some(part) = partial.decoder.take(buffer).map_err(kind)? {
+        while let Some(part) = partial.decoder.decode(buffer).map_err(kind)? {
             if partial.body.len() as u64 + part.len() as u64 > self.max_body {
                 return Err(Kind::BodyTooLarge);
             }
             partial.body.extend_from_slice(&part);
         }
-        if !partial.decoder.ended() {
+        if !partial.decoder.is_complete() {
             return Ok(None);
         }
         self.expects = false;
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -189,7 +189,7 @@
 }
 
 fn fingerprint(method: &str, target: &str, body: &Bytes) -> u64 {
-    hash::pair(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
+    hash::combine(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
 }
 
 /// The host that a request names, without its port.
@@ -203,7 +203,7 @@
     let mut passed = HeaderMap::with_capacity(headers.len());
     let kept = |name: &HeaderName| {
         let framing = *name == CONTENT_LENGTH || *name == EXPECT;
-        !framing && !head::is_hop(name.as_str()) && !context.dialect.sets(name)
+        !framing && !head::is_hop_by_hop(name.as_str()) && !context.dialect.sets(name)
     };
     for (name, value) in headers.iter().filter(|(name, _)| kept(name)) {
         passed.append(name, value.clone());
@@ -226,5 +226,5 @@
     }
     let good = !own_fault && latency <= Duration::from_millis(target.target_ms);
     let now = context.now();
-    lock(&context.burn).entry(class.to_owned()).or_default().note(good, now);
+    lock(&context.burn).entry(class.to_owned()).or_default().record(good, now);
 }
--- a/crates/daemon/src/callers/server.rs
+++ b/crates/daemon/src/callers/server.rs
@@ -32,12 +32,12 @@
     open: Arc<AtomicUsize>,
 }
 
-impl kernel::Part for Port {
+impl kernel::Component for Port {
     fn withdraw(&mut self) {
         self.stop.send_replace(Phase::Leaving);
     }
 
-    fn drained(&mut self) -> bool {
+    fn drain(&mut self) -> bool {
         self.stop.send_replace(Phase::Closing);
         self.tasks.iter().all(tokio::task::JoinHandle::is_finished) && self.open.load(Ordering::Relaxed) == 0
     }
@@ -49,7 +49,7 @@
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let settings = &context.settings.callers;
     let (stop, stopped) = watch::channel(Phase::Open);
     let open = Arc::new(AtomicUsize::new(0));
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use base::rate::Bucket;
-use base::stall::Stall;
+use base::stall;
 use base::time::Time;
 use config::configs::Settings;
 use config::policy::Policy;
@@ -15,7 +15,7 @@
 use fleet::copy::Holder;
 use fleet::message::{Record, State};
 use fleet::roster::{Roster, Times};
-use h1::Room;
+use h1::Budget;
 use ledger::Ledger;
 use steer::grant::Keeper;
 use steer::shift::Controller;
@@ -58,7 +58,7 @@
     /// What callers and backend servers call the things that cross the wire.
     pub dialect: Arc<Dialect>,
     /// Notices that the process stood still.
-    pub stall: Mutex<Stall>,
+    pub stall: Mutex<stall::Detector>,
     /// The clock.
     pub clock: Clock,
     /// When the process started.
@@ -96,7 +96,7 @@
     /// Instances in the platform's list.
     pub list: Mutex<List>,
     /// Answers of backend servers that are being read.
-    pub answers: Room,
+    pub answers: Budget,
     /// Idle connections to backend servers.
     pub pool: Pool,
     /// Requests under way.
@@ -153,7 +153,7 @@
             mirror: Mutex::new(store::Mirror::new()),
             learning: Learning::new(),
             servers: Mutex::new(Servers::default()),
-            stall: Mutex::new(Stall::new(now)),
+            stall: Mutex::new(stall::Detector::new(now)),
             clock,
             begun: now,
             incarnation,
@@ -168,7 +168,7 @@
             steering: RwLock::new(Arc::new(Steering::default())),
             preparing: Mutex::new(Preparing::default()),
             list: Mutex::new(List::default()),
-            answers: Room::new(settings.dispatch.answers_bytes as usize),
+            answers: Budget::new(settings.dispatch.answers_bytes as usize),
             pool: Pool::new(),
             driver: Driver::new(Engine::new(Vec::new(), limits, incarnation)),
             ledger: Mutex::new(Ledger::new(keys)),
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -284,13 +284,13 @@
 /// Runs the engine's timers.
 struct Timer(tokio::task::JoinHandle<()>);
 
-impl kernel::Part for Timer {
+impl kernel::Component for Timer {
     fn close(&mut self) {
         self.0.abort();
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move { run(&shared).await });
     Ok(Box::new(Timer(task)))
--- a/crates/daemon/src/grants.rs
+++ b/crates/daemon/src/grants.rs
@@ -24,7 +24,7 @@
     lease: Arc<std::sync::Mutex<Option<Lease>>>,
 }
 
-impl kernel::Part for Grants {
+impl kernel::Component for Grants {
     /// Gives the slots back, so that the others need not wait for the lease to end.
     fn close(&mut self) {
         self.running.stop();
@@ -37,7 +37,7 @@
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     if context.catalog.is_some() {
         return Ok(Box::new(kernel::Idle));
     }
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -165,10 +165,10 @@
     kernel.withdraw();
     tokio::time::sleep(Duration::from_millis(context.settings.callers.answer_kept_ms)).await;
     let limit = Duration::from_millis(context.settings.callers.stop_ms);
-    let mut drained = kernel.drained();
+    let mut drained = kernel.drain();
     while !drained && context.now().since(begun) < limit {
         tokio::time::sleep(LOOK).await;
-        drained = kernel.drained();
+        drained = kernel.drain();
     }
     // Parts give back what they hold in the store with calls that block, which need the event loop to go on.
     if let Err(error) = tokio::task::spawn_blocking(move || kernel.close()).await {
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -32,8 +32,8 @@
 
 /// A backend server's number: its name, address and start together, so that a successor is another one.
 pub fn backend_id(instance: &Instance) -> BackendId {
-    let Instance { name, address, born, .. } = instance;
-    let text = if *born == 0 { format!("{name}\n{address}") } else { format!("{name}\n{address}\n{born}") };
+    let Instance { name, address, started_at, .. } = instance;
+    let text = if *started_at == 0 { format!("{name}\n{address}") } else { format!("{name}\n{address}\n{started_at}") };
     hash::bytes(text.as_bytes()) as BackendId
 }
 
@@ -72,7 +72,7 @@
             let (key, entry) = kept.unwrap_or_else(|| {
                 let name = key.strip_prefix(catalog.folder).unwrap_or(key);
                 let server = (catalog.server)(name, &held.value, settings);
-                let item = server.map(|server| Item::new(server.instance, held.seen + server.starts));
+                let item = server.map(|server| Item::new(server.instance, held.first_seen + server.starts));
                 let told = item.map_err(|reason| format!("{key} at revision {}: {reason}", held.revision));
                 (key.to_owned(), (held.revision, told))
             });
--- a/crates/daemon/src/mirror/check.rs
+++ b/crates/daemon/src/mirror/check.rs
@@ -50,7 +50,7 @@
         }
         if watches {
             note_confirmed(&context, &liveness, known);
-            if liveness.overdue(known, now) {
+            if liveness.check_overdue(known, now) {
                 stalled(&context, known);
             }
         }
@@ -72,7 +72,7 @@
 /// How long there is nothing to do.
 fn sleep(context: &Context, liveness: &Liveness, watches: bool, next: Time, now: Time) -> Duration {
     if watches {
-        let catching_up = if liveness.wake().is_some() { CATCHING_UP } else { LOOK };
+        let catching_up = if liveness.next_deadline().is_some() { CATCHING_UP } else { LOOK };
         return next.since(now).min(catching_up);
     }
     let age = lock(&context.mirror).age(now).unwrap_or_default();
@@ -93,7 +93,7 @@
         Ok(revision) => {
             let now = context.now();
             let known = lock(&context.mirror).revision();
-            if liveness.answer(revision, known, gathering(context), sent, now) {
+            if liveness.record_answer(revision, known, gathering(context), sent, now) {
                 stalled(context, known);
             }
             note_confirmed(context, liveness, known);
@@ -101,7 +101,7 @@
         }
         Err(error) => {
             note_failure(context, &Upstream::Store, &error);
-            liveness.fail();
+            liveness.record_failure();
             // The next one must not go over a connection that may be silent for good.
             context.store.reconnect();
             Err(error)
--- a/crates/daemon/src/mirror/follow.rs
+++ b/crates/daemon/src/mirror/follow.rs
@@ -128,7 +128,7 @@
         let new = told.revision > after || !from.is_empty() || self::confirmed(context, now) > confirmed;
         let waited = tokio::time::timeout_at(until, news.changed());
         if new || waited.await.is_err() {
-            return Some(Changes { held_ms: context.now().since(asked).as_millis() as u64, ..told });
+            return Some(Changes { waited_ms: context.now().since(asked).as_millis() as u64, ..told });
         }
     }
 }
--- a/crates/daemon/src/mirror/mod.rs
+++ b/crates/daemon/src/mirror/mod.rs
@@ -89,13 +89,13 @@
 
 struct Tasks(Vec<tokio::task::JoinHandle<()>>);
 
-impl kernel::Part for Tasks {
+impl kernel::Component for Tasks {
     fn close(&mut self) {
         self.0.iter().for_each(tokio::task::JoinHandle::abort);
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let Some(catalog) = context.catalog else {
         return Ok(Box::new(kernel::Idle));
     };
--- a/crates/daemon/src/mirror/publish.rs
+++ b/crates/daemon/src/mirror/publish.rs
@@ -61,7 +61,7 @@
     loop {
         tokio::time::sleep(TURN).await;
         let now = context.now();
-        let dropped = lock(&context.mirror).tick(now);
+        let dropped = lock(&context.mirror).remove_expired(now);
         if dropped {
             publish(&context, catalog);
         } else {
--- a/crates/daemon/src/mirror/store.rs
+++ b/crates/daemon/src/mirror/store.rs
@@ -53,7 +53,7 @@
             let changed = lock(&context.mirror).apply(events, revision, now);
             Ok(if changed { Turn::Changed } else { Turn::Same })
         }
-        Reply::Forgotten => Ok(Turn::Forgotten),
+        Reply::Compacted => Ok(Turn::Forgotten),
         other => Err(unexpected(&other)),
     }
 }
@@ -88,11 +88,11 @@
     if result.is_err() {
         // A watch may have waited for long before it was cut.
         let since = if matches!(call, Call::Watch { .. }) { context.now() } else { sent };
-        lock(&context.mirror).note_failure(since);
+        lock(&context.mirror).record_failure(since);
     } else {
         let now = context.now();
         context.store_seen.store(now.as_micros(), Ordering::Relaxed);
-        let lost = lock(&context.mirror).note_answer(sent, now);
+        let lost = lock(&context.mirror).record_answer(sent, now);
         if lost {
             log::info!("mirror: store answers again silent_ms={}", now.since(sent).as_millis());
         }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -26,13 +26,13 @@
 
 struct Port(Vec<Arc<Server>>);
 
-impl kernel::Part for Port {
+impl kernel::Component for Port {
     fn close(&mut self) {
         self.0.iter().for_each(|server| server.unblock());
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let settings = &context.settings.operators;
     let addresses =
         [("operators.address", &settings.address), ("operators.metrics_address", &settings.metrics_address)];
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -46,7 +46,7 @@
 
 /// Hash of an idempotency key; a key of a session differs from the same key without.
 pub fn key_hash(session: Option<&str>, key: &str) -> u128 {
-    hash::wide(format!("{}\n{key}", session.unwrap_or_default()).as_bytes())
+    hash::bytes_128(format!("{}\n{key}", session.unwrap_or_default()).as_bytes())
 }
 
 /// What to do with an order that came.
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -25,7 +25,7 @@
 
 struct Exchange(tokio::task::JoinHandle<()>, Arc<Context>);
 
-impl kernel::Part for Exchange {
+impl kernel::Component for Exchange {
     fn withdraw(&mut self) {
         lock(&self.1.roster).leave();
         super::tell_leaving(&self.1);
@@ -36,7 +36,7 @@
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         join(&shared).await;
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -72,7 +72,7 @@
 
 struct Port(Option<ServerHandle>);
 
-impl kernel::Part for Port {
+impl kernel::Component for Port {
     fn close(&mut self) {
         let stopped = self.0.take().map(|handle| handle.stop());
         if stopped.is_some_and(|stopped| stopped.is_err()) {
@@ -81,7 +81,7 @@
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let address = context.settings.fleet.address.clone();
     let config = ServerConfig::builder()
         .max_connections(MAX_CONNECTIONS)
--- a/crates/daemon/src/plugin.rs
+++ b/crates/daemon/src/plugin.rs
@@ -50,7 +50,7 @@
     }
 }
 
-impl kernel::Part for Loop {
+impl kernel::Component for Loop {
     fn close(&mut self) {
         self.stop();
     }
--- a/crates/daemon/src/reader.rs
+++ b/crates/daemon/src/reader.rs
@@ -19,7 +19,7 @@
     Plugin(kernel::Plugin { name: "reader", stage: 30, start })
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     if context.catalog.is_some() {
         return Ok(Box::new(kernel::Idle));
     }
--- a/crates/daemon/src/stall.rs
+++ b/crates/daemon/src/stall.rs
@@ -22,13 +22,13 @@
 
 struct Beating(tokio::task::JoinHandle<()>);
 
-impl kernel::Part for Beating {
+impl kernel::Component for Beating {
     fn close(&mut self) {
         self.0.abort();
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         loop {
@@ -42,7 +42,7 @@
 /// A sign of life; called before anything is decided or sent.
 pub fn note(context: &Arc<Context>) {
     let now = context.now();
-    let Some(stood) = lock(&context.stall).beat(now) else { return };
+    let Some(stood) = lock(&context.stall).observe(now) else { return };
     log::warn!("stall: the process stood still, nothing is sent until the store has answered ms={}", stood.as_millis());
     context.metrics.stalls.inc();
     context.driver.with(context, |engine| engine.doubt(stood, now + DOUBT));
--- a/crates/daemon/src/view/entries.rs
+++ b/crates/daemon/src/view/entries.rs
@@ -29,7 +29,7 @@
             operators: String::new(),
             slots: 0,
             connections: 0,
-            born: record.incarnation,
+            started_at: record.incarnation,
             state: Listed::Live,
         })
     };
--- a/crates/daemon/src/view/servers.rs
+++ b/crates/daemon/src/view/servers.rs
@@ -107,7 +107,7 @@
         let service = in_force.policy.services.get(&item.instance.service)?;
         let Dealt { part, starter, .. } = self.dealt(item.id);
         let per_second = service.start_per_second * part;
-        let phase = hash::unit(hash::pair(self.own, item.id.into()));
+        let phase = hash::unit_interval(hash::combine(self.own, item.id.into()));
         (service.start_per_second > 0.0).then_some(Start { until: item.starts, per_second, starter, phase })
     }
 }
--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -41,7 +41,7 @@
             operators: String::new(),
             slots: 3,
             connections: 10,
-            born: 0,
+            started_at: 0,
             state: State::Live,
         };
         let list = fakes::list::Running::start("127.0.0.1:0", vec![instance], Duration::ZERO).expect("it starts");
--- a/crates/daemon/tests/view.rs
+++ b/crates/daemon/tests/view.rs
@@ -37,7 +37,7 @@
         operators: String::new(),
         slots: 3,
         connections: 10,
-        born: 0,
+        started_at: 0,
         state: State::Live,
     }
 }
--- a/crates/dispatch/src/engine/ending.rs
+++ b/crates/dispatch/src/engine/ending.rs
@@ -156,7 +156,7 @@
         let Some(state) = self.requests.get(&ended.request) else {
             return;
         };
-        let loss = base::hash::pair(self.salt, attempt);
+        let loss = base::hash::combine(self.salt, attempt);
         let fingerprint = state.fingerprint;
         if self.note_poison(fingerprint, loss, now) {
             self.losses.push((fingerprint, loss));
--- a/crates/dispatch/src/engine/keyed.rs
+++ b/crates/dispatch/src/engine/keyed.rs
@@ -93,7 +93,7 @@
         let Some([near, far]) = self.tiers.get(service) else {
             return [None, None];
         };
-        let lives_near = self.near_parts.get(service).is_none_or(|part| hash::unit(object) < *part);
+        let lives_near = self.near_parts.get(service).is_none_or(|part| hash::unit_interval(object) < *part);
         let home = |servers: &[BackendId], lives: bool| {
             let id = self.first(servers, state, object, now)?;
             let warm = if lives { WARM_WHERE_IT_LIVES } else { WARM_ELSEWHERE };
@@ -115,7 +115,7 @@
         };
         let mut first = None;
         for id in servers {
-            let rank = hash::pair(object, u64::from(*id));
+            let rank = hash::combine(object, u64::from(*id));
             if first.is_none_or(|(best, _)| rank > best) && up(id) {
                 first = Some((rank, *id));
             }
--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -170,7 +170,7 @@
             return self.reject(request, kind, after);
         }
         let spec = &self.classes[class].spec;
-        let object = object.filter(|_| spec.affinity).map(|object| base::hash::pair(object, spec.key));
+        let object = object.filter(|_| spec.affinity).map(|object| base::hash::combine(object, spec.key));
         if object.is_some() {
             self.guess_loads(service, now);
         }
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -12,8 +12,8 @@
     if daemons.len() <= most {
         return true;
     }
-    let own = hash::pair(backend, daemon);
-    let better = daemons.iter().filter(|other| hash::pair(backend, **other) > own).count();
+    let own = hash::combine(backend, daemon);
+    let better = daemons.iter().filter(|other| hash::combine(backend, **other) > own).count();
     better < most
 }
 
--- a/crates/dispatch/tests/cases.rs
+++ b/crates/dispatch/tests/cases.rs
@@ -231,8 +231,8 @@
 #[case(7, 28)]
 #[case(167, 5_000)]
 fn each_backend_has_one_host_and_few_users(#[case] daemons: u64, #[case] backends: u64) {
-    let names: Vec<u64> = (0..daemons).map(|daemon| base::hash::pair(daemon, 1)).collect();
-    let ids: Vec<u64> = (0..backends).map(|backend| base::hash::pair(backend, 2)).collect();
+    let names: Vec<u64> = (0..daemons).map(|daemon| base::hash::combine(daemon, 1)).collect();
+    let ids: Vec<u64> = (0..backends).map(|backend| base::hash::combine(backend, 2)).collect();
     let mut hosts = vec![0; ids.len()];
     for daemon in &names {
         for (index, hosted) in subset::hosts(*daemon, &names, &ids).into_iter().enumerate() {
--- a/crates/fleet/src/copy.rs
+++ b/crates/fleet/src/copy.rs
@@ -95,5 +95,5 @@
 }
 
 fn sum(revision: u64, text: &str) -> u64 {
-    hash::pair(hash::bytes(text.as_bytes()), revision)
+    hash::combine(hash::bytes(text.as_bytes()), revision)
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -254,8 +254,8 @@
         let records = std::iter::once(&self.own).chain(self.members.values().map(|member| &member.record));
         records.fold(0, |sum, record| {
             let texts = [&record.name, &record.domain, &record.callers, &record.peers];
-            let texts = texts.into_iter().fold(sum, |sum, text| hash::pair(sum, hash::bytes(text.as_bytes())));
-            hash::pair(hash::pair(texts, record.incarnation), record.state as u64)
+            let texts = texts.into_iter().fold(sum, |sum, text| hash::combine(sum, hash::bytes(text.as_bytes())));
+            hash::combine(hash::combine(texts, record.incarnation), record.state as u64)
         })
     }
 
--- a/crates/h1/src/body.rs
+++ b/crates/h1/src/body.rs
@@ -80,7 +80,7 @@
     }
 
     /// Whether the whole body was taken.
-    pub fn ended(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == State::End
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Takes the next part of the body off `buffer`; `None` if more bytes are needed or the body has ended.
-    pub fn take(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>> {
+    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>> {
         loop {
             match self.state {
                 State::End => return Ok(None),
--- a/crates/h1/src/room.rs
+++ b/crates/h1/src/budget.rs
@@ -1,14 +1,14 @@
 //! Memory for answers that are being read, over all connections.
 //!
 //! Load pattern: many servers send bytes without end, at once. Each of them alone keeps below the largest answer that
-//! is allowed, all of them together would not. While room is short, those that hold more than an even part of it get no
+//! is allowed, all of them together would not. While budget is short, those that hold more than an even part of it get no
 //! more, so that answers of a usual size still come through.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Room for answers, shared by connections.
+/// Budget for answers, shared by connections.
 #[derive(Debug)]
-pub struct Room {
+pub struct Budget {
     /// Bytes for all answers together.
     bytes: usize,
     used: Mutex<Used>,
@@ -20,21 +20,21 @@
     holders: usize,
 }
 
-impl Room {
-    /// Room for `bytes`.
+impl Budget {
+    /// Budget for `bytes`.
     pub const fn new(bytes: usize) -> Self {
         Self { bytes, used: Mutex::new(Used { bytes: 0, holders: 0 }) }
     }
 
     /// Bytes held now.
-    pub fn held(&self) -> usize {
+    pub fn reserved(&self) -> usize {
         self.used().bytes
     }
 
-    /// A part of the room for one answer, empty at first.
-    pub fn part(&self) -> Part<'_> {
+    /// A part of the budget for one answer, empty at first.
+    pub fn reserve(&self) -> Reservation<'_> {
         self.used().holders += 1;
-        Part { room: self, bytes: 0 }
+        Reservation { budget: self, bytes: 0 }
     }
 
     fn used(&self) -> MutexGuard<'_, Used> {
@@ -42,19 +42,19 @@
     }
 }
 
-/// What one answer holds of the room; it is given back when dropped.
+/// What one answer holds of the budget; it is given back when dropped.
 #[derive(Debug)]
-pub struct Part<'a> {
-    room: &'a Room,
+pub struct Reservation<'a> {
+    budget: &'a Budget,
     bytes: usize,
 }
 
-impl Part<'_> {
+impl Reservation<'_> {
     /// Takes `bytes` more; says whether they may be held.
-    pub fn take(&mut self, bytes: usize) -> bool {
-        let mut used = self.room.used();
-        let short = used.bytes + bytes > self.room.bytes;
-        let even = self.room.bytes / used.holders.max(1);
+    pub fn grow(&mut self, bytes: usize) -> bool {
+        let mut used = self.budget.used();
+        let short = used.bytes + bytes > self.budget.bytes;
+        let even = self.budget.bytes / used.holders.max(1);
         if short && self.bytes + bytes > even {
             return false;
         }
@@ -64,9 +64,9 @@
     }
 }
 
-impl Drop for Part<'_> {
+impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        let mut used = self.room.used();
+        let mut used = self.budget.used();
         used.bytes -= self.bytes;
         used.holders -= 1;
     }
--- a/crates/h1/src/client.rs
+++ b/crates/h1/src/client.rs
@@ -11,8 +11,8 @@
 use tokio::net::TcpStream;
 
 use crate::body::{Decoder, Framing};
+use crate::budget::{Budget, Reservation};
 use crate::error::Error;
-use crate::room::{Part, Room};
 use crate::{encode, head};
 
 /// Largest head of an answer, in bytes.
@@ -61,9 +61,9 @@
     /// The body.
     pub body: &'a Bytes,
     /// Largest body of an answer, in bytes.
-    pub max_answer: usize,
+    pub max_answer_bytes: usize,
     /// Where the bodies of answers are held while they come.
-    pub room: &'a Room,
+    pub budget: &'a Budget,
 }
 
 /// A whole answer.
@@ -83,7 +83,7 @@
 
 impl Answer {
     /// How long the server keeps an idle connection, if it says so.
-    pub fn idle_limit(&self) -> Option<Duration> {
+    pub fn keep_alive_timeout(&self) -> Option<Duration> {
         let value = head::text(&self.headers, &HeaderName::from_static("keep-alive"))?;
         let mut fields = value.split(',').filter_map(|field| field.trim().split_once('='));
         let seconds = fields.find(|(name, _)| name.eq_ignore_ascii_case("timeout"))?.1.trim().parse().ok()?;
@@ -166,7 +166,7 @@
     head: Option<head::Response>,
     decoder: Decoder,
     body: BytesMut,
-    part: Part<'a>,
+    part: Reservation<'a>,
     /// Bytes of the body that have come.
     length: usize,
     stray: bool,
@@ -181,7 +181,7 @@
             head: None,
             decoder: Decoder::new(Framing::Length(0)),
             body: BytesMut::new(),
-            part: call.room.part(),
+            part: call.budget.reserve(),
             length: 0,
             stray: false,
             passed_over: 0,
@@ -194,10 +194,10 @@
             if self.head.is_none() && !self.start(buffer, &ours)? {
                 return Ok(None);
             }
-            while let Some(part) = self.decoder.take(buffer).map_err(fault)? {
+            while let Some(part) = self.decoder.decode(buffer).map_err(fault)? {
                 self.hold(&part)?;
             }
-            if !self.decoder.ended() {
+            if !self.decoder.is_complete() {
                 return Ok(None);
             }
             let body = self.body.split().freeze();
@@ -211,7 +211,7 @@
     /// Keeps a part of the body; what belongs to nobody is only counted.
     fn hold(&mut self, part: &[u8]) -> Result<(), Fault> {
         self.length += part.len();
-        if self.length > self.call.max_answer || (!self.stray && !self.part.take(part.len())) {
+        if self.length > self.call.max_answer_bytes || (!self.stray && !self.part.grow(part.len())) {
             return Err(Fault::Endless);
         }
         if !self.stray {
@@ -223,7 +223,7 @@
     /// Reads the head of an answer; says whether there is one.
     fn start(&mut self, buffer: &mut BytesMut, ours: impl Fn(&head::Response) -> bool) -> Result<bool, Fault> {
         loop {
-            let Some(head) = head::Response::take(buffer, MAX_HEAD_BYTES).map_err(fault)? else {
+            let Some(head) = head::Response::parse(buffer, MAX_HEAD_BYTES).map_err(fault)? else {
                 return Ok(false);
             };
             let interim = head.status.is_informational();
@@ -236,7 +236,7 @@
                 continue;
             }
             let framing = Framing::of_response(self.call.method, head.status, &head.headers).map_err(fault)?;
-            if matches!(framing, Framing::Length(length) if length > self.call.max_answer as u64) {
+            if matches!(framing, Framing::Length(length) if length > self.call.max_answer_bytes as u64) {
                 return Err(Fault::TooLarge);
             }
             self.length = 0;
--- a/crates/h1/src/head.rs
+++ b/crates/h1/src/head.rs
@@ -48,13 +48,13 @@
 
 impl Request {
     /// Takes a head off the front of `buffer`; `None` if it is not whole yet.
-    pub fn take(buffer: &mut BytesMut, most: usize) -> Result<Option<Self>> {
+    pub fn parse(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>> {
         skip_blank_lines(buffer);
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut lines);
         let length = match parsed.parse(buffer) {
-            Ok(httparse::Status::Complete(length)) if length <= most => length,
-            Ok(httparse::Status::Partial) if buffer.len() < most => return Ok(None),
+            Ok(httparse::Status::Complete(length)) if length <= max_bytes => length,
+            Ok(httparse::Status::Partial) if buffer.len() < max_bytes => return Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Error::HeadTooLarge),
             Err(_) => return Err(Error::Malformed),
         };
@@ -79,12 +79,12 @@
 
 impl Response {
     /// Takes a head off the front of `buffer`; `None` if it is not whole yet.
-    pub fn take(buffer: &mut BytesMut, most: usize) -> Result<Option<Self>> {
+    pub fn parse(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut lines);
         let length = match parsed.parse(buffer) {
-            Ok(httparse::Status::Complete(length)) if length <= most => length,
-            Ok(httparse::Status::Partial) if buffer.len() < most => return Ok(None),
+            Ok(httparse::Status::Complete(length)) if length <= max_bytes => length,
+            Ok(httparse::Status::Partial) if buffer.len() < max_bytes => return Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Error::HeadTooLarge),
             Err(_) => return Err(Error::Malformed),
         };
@@ -97,7 +97,7 @@
 }
 
 /// Whether a header concerns one connection only.
-pub fn is_hop(name: &str) -> bool {
+pub fn is_hop_by_hop(name: &str) -> bool {
     HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop))
 }
 
--- a/crates/h1/src/lib.rs
+++ b/crates/h1/src/lib.rs
@@ -5,12 +5,12 @@
 //! the answer to the present one (`docs/STYLE.md`).
 
 pub mod body;
+pub mod budget;
 pub mod client;
 pub mod encode;
 pub mod error;
 pub mod head;
-pub mod room;
 
 pub use body::{Decoder, Framing};
+pub use budget::Budget;
 pub use error::{Error, Result};
-pub use room::Room;
--- a/crates/h1/tests/bodies.rs
+++ b/crates/h1/tests/bodies.rs
@@ -53,10 +53,10 @@
 fn feed(framing: Framing, bytes: &[u8], rng: &mut fastrand::Rng) -> Result<(Vec<u8>, Vec<u8>), Error> {
     let (mut decoder, mut buffer, mut body, mut rest) = (Decoder::new(framing), BytesMut::new(), Vec::new(), bytes);
     loop {
-        while let Some(part) = decoder.take(&mut buffer)? {
+        while let Some(part) = decoder.decode(&mut buffer)? {
             body.extend_from_slice(&part);
         }
-        if decoder.ended() || rest.is_empty() {
+        if decoder.is_complete() || rest.is_empty() {
             break;
         }
         let (now, later) = rest.split_at(rng.usize(1..=rest.len().min(7)));
@@ -100,15 +100,15 @@
 fn a_head_is_taken_once_it_is_whole_and_refused_when_it_is_too_large() {
     let text = "\r\nPOST /a?b=c HTTP/1.1\r\nhost: x\r\nconnection: keep-alive, Close\r\n\r\nbody";
     for end in 0..text.len() - 4 {
-        let taken = head::Request::take(&mut BytesMut::from(&text[..end]), 1_000);
+        let taken = head::Request::parse(&mut BytesMut::from(&text[..end]), 1_000);
         assert!(matches!(taken, Ok(None)), "{end}: {taken:?}");
     }
     let mut buffer = BytesMut::from(text);
-    let head = head::Request::take(&mut buffer, 1_000).expect("it is valid").expect("it is whole");
+    let head = head::Request::parse(&mut buffer, 1_000).expect("it is valid").expect("it is whole");
     assert_eq!((head.path(), head.query(), head.keep_alive), ("/a", Some("b=c"), false));
     assert_eq!(&buffer[..], b"body");
     let mut endless = BytesMut::from(format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(2_000)).as_str());
-    assert!(matches!(head::Request::take(&mut endless, 1_000), Err(Error::HeadTooLarge)));
+    assert!(matches!(head::Request::parse(&mut endless, 1_000), Err(Error::HeadTooLarge)));
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let given = headers(&[("x-one", "1"), ("transfer-encoding", "chunked")]);
     encode::request(&mut out, &Method::POST, "/orders?a=b", &given, 3);
     out.extend_from_slice(b"abc");
-    let head = head::Request::take(&mut out, 1_000).expect("it is valid").expect("it is whole");
+    let head = head::Request::parse(&mut out, 1_000).expect("it is valid").expect("it is whole");
     assert_eq!((head.method, head.target.as_str()), (Method::POST, "/orders?a=b"));
     assert_eq!(Framing::of_request(&head.headers), Ok(Framing::Length(3)), "one framing, ours");
     assert_eq!(&out[..], b"abc");
--- a/crates/h1/tests/client.rs
+++ b/crates/h1/tests/client.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use h1::Room;
+use h1::Budget;
 use h1::client::{Answer, Call, Connection, Fault};
 use http::Method;
 use http::header::{HeaderMap, HeaderName, HeaderValue};
@@ -39,8 +39,9 @@
 async fn send(connection: &mut Connection, id: &str, body: &Bytes) -> Result<Answer, Fault> {
     let mut headers = HeaderMap::new();
     headers.insert(ID, HeaderValue::from_str(id).expect("it is plain"));
-    let room = Room::new(1_000);
-    let call = Call { method: &Method::POST, target: "/", headers: &headers, body, max_answer: 100, room: &room };
+    let budget = Budget::new(1_000);
+    let call =
+        Call { method: &Method::POST, target: "/", headers: &headers, body, max_answer_bytes: 100, budget: &budget };
     let id = id.to_owned();
     connection.exchange(call, |head| head.headers.get(&ID).is_none_or(|echoed| *echoed == *id)).await
 }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -19,12 +19,12 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// A running plug-in.
-pub trait Part: Send {
+pub trait Component: Send {
     /// Tells others that this daemon stops; work goes on.
     fn withdraw(&mut self) {}
 
     /// Takes no new work; says whether all work is done. Called until it is.
-    fn drained(&mut self) -> bool {
+    fn drain(&mut self) -> bool {
         true
     }
 
@@ -36,10 +36,10 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Idle;
 
-impl Part for Idle {}
+impl Component for Idle {}
 
 /// What starting a plug-in gives: the running part, or what went wrong and what to change.
-pub type Started = std::result::Result<Box<dyn Part>, String>;
+pub type StartResult = std::result::Result<Box<dyn Component>, String>;
 
 /// A plug-in over the context `C`.
 #[derive(Debug)]
@@ -49,17 +49,17 @@
     /// Lower stages start first and close last.
     pub stage: u8,
     /// Starts it.
-    pub start: fn(&Arc<C>) -> Started,
+    pub start: fn(&Arc<C>) -> StartResult,
 }
 
 /// Running plug-ins.
 pub struct Kernel {
-    parts: Vec<(&'static str, Box<dyn Part>)>,
+    components: Vec<(&'static str, Box<dyn Component>)>,
 }
 
 impl std::fmt::Debug for Kernel {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let names: Vec<_> = self.parts.iter().map(|(name, _)| name).collect();
+        let names: Vec<_> = self.components.iter().map(|(name, _)| name).collect();
         f.debug_struct("Kernel").field("parts", &names).finish()
     }
 }
@@ -69,11 +69,11 @@
     pub fn start<'a, C: 'static>(plugins: impl IntoIterator<Item = &'a Plugin<C>>, context: &Arc<C>) -> Result<Self> {
         let mut ordered: Vec<&Plugin<C>> = plugins.into_iter().collect();
         ordered.sort_by_key(|plugin| (plugin.stage, plugin.name));
-        let mut kernel = Self { parts: Vec::new() };
+        let mut kernel = Self { components: Vec::new() };
         for plugin in ordered {
             log::debug!("kernel: starting part={}", plugin.name);
             match (plugin.start)(context) {
-                Ok(part) => kernel.parts.push((plugin.name, part)),
+                Ok(part) => kernel.components.push((plugin.name, part)),
                 Err(reason) => {
                     kernel.close();
                     return Err(Error { plugin: plugin.name, reason });
@@ -85,20 +85,20 @@
 
     /// Tells all parts to withdraw, last started first.
     pub fn withdraw(&mut self) {
-        for (name, part) in self.parts.iter_mut().rev() {
+        for (name, part) in self.components.iter_mut().rev() {
             log::debug!("kernel: withdrawing part={name}");
             part.withdraw();
         }
     }
 
     /// Has all parts take no new work, last started first; says whether all work is done. Called until it is.
-    pub fn drained(&mut self) -> bool {
-        self.parts.iter_mut().rev().all(|(_, part)| part.drained())
+    pub fn drain(&mut self) -> bool {
+        self.components.iter_mut().rev().all(|(_, part)| part.drain())
     }
 
     /// Closes all parts, last started first.
     pub fn close(&mut self) {
-        while let Some((name, mut part)) = self.parts.pop() {
+        while let Some((name, mut part)) = self.components.pop() {
             log::debug!("kernel: closing part={name}");
             part.close();
         }
--- a/crates/kernel/tests/life.rs
+++ b/crates/kernel/tests/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use kernel::{Kernel, Part, Plugin, Started};
+use kernel::{Component, Kernel, Plugin, StartResult};
 
 type Log = Mutex<Vec<String>>;
 
@@ -14,12 +14,12 @@
     }
 }
 
-impl Part for Noted {
+impl Component for Noted {
     fn withdraw(&mut self) {
         self.note("withdraw");
     }
 
-    fn drained(&mut self) -> bool {
+    fn drain(&mut self) -> bool {
         self.2 = self.2.saturating_sub(1);
         self.2 == 0
     }
@@ -29,13 +29,13 @@
     }
 }
 
-fn part(name: &'static str, log: &Arc<Log>, looks: u32) -> Started {
+fn part(name: &'static str, log: &Arc<Log>, looks: u32) -> StartResult {
     let part = Noted(name, Arc::clone(log), looks);
     part.note("start");
     Ok(Box::new(part))
 }
 
-fn plugins(second: fn(&Arc<Log>) -> Started) -> [Plugin<Log>; 3] {
+fn plugins(second: fn(&Arc<Log>) -> StartResult) -> [Plugin<Log>; 3] {
     [
         Plugin { name: "c", stage: 9, start: |log| part("c", log, 3) },
         Plugin { name: "b", stage: 5, start: second },
@@ -54,7 +54,7 @@
     let mut kernel = Kernel::start(&all, &log).expect("all start");
     kernel.withdraw();
     let mut looks = 0;
-    while !kernel.drained() {
+    while !kernel.drain() {
         looks += 1;
     }
     assert_eq!(looks, 2);
@@ -77,7 +77,7 @@
     let log = Arc::new(Log::default());
     let all = plugins(|log| part("b", log, 100));
     let mut kernel = Kernel::start(&all, &log).expect("all start");
-    assert!(!kernel.drained());
+    assert!(!kernel.drain());
     kernel.close();
     assert!(said(&log).ends_with("close c, close b, close a"), "closing does not wait for work");
 }
--- a/crates/replay/src/world/callers.rs
+++ b/crates/replay/src/world/callers.rs
@@ -66,7 +66,7 @@
         let request = &mut self.requests[index];
         request.arrived = now;
         let entry = request.entry;
-        let fingerprint = if request.poison { u64::from(request.caller) } else { hash::pair(index as u64, 7) };
+        let fingerprint = if request.poison { u64::from(request.caller) } else { hash::combine(index as u64, 7) };
         let arrival = Arrival::new(index as u64, request.class, fingerprint, 200);
         self.engines[entry].submit(arrival, now);
         self.settle(entry);
--- a/crates/replay/src/world/mod.rs
+++ b/crates/replay/src/world/mod.rs
@@ -114,7 +114,7 @@
         let steered = policy == Policy::Steered;
         let limits = if steered { LIMITS } else { PLAIN };
         let engine = |index: usize| {
-            let mut engine = Engine::new(site.specs(), limits, hash::pair(seed, index as u64));
+            let mut engine = Engine::new(site.specs(), limits, hash::combine(seed, index as u64));
             engine.set_policy(policy);
             engine
         };
--- a/crates/size/src/dispatching.rs
+++ b/crates/size/src/dispatching.rs
@@ -59,7 +59,7 @@
     let mut one = |_| {
         next += 1;
         now = now + Duration::from_micros(300);
-        let object = objects.map(|objects| base::hash::pair(next % objects, 1));
+        let object = objects.map(|objects| base::hash::combine(next % objects, 1));
         engine.submit(Arrival { object, ..Arrival::new(next, 0, next, 100) }, now);
         for action in engine.take() {
             if let Action::Start { attempt, .. } = action {
--- a/crates/steer/src/answer.rs
+++ b/crates/steer/src/answer.rs
@@ -43,10 +43,10 @@
 /// region, so that a caller whose region dies has somewhere to go.
 pub fn look_up(table: &Table, view: &View, shares: &Shares, address: u32, most: usize) -> Answer {
     let most = most.clamp(1, MAX_ENTRIES);
-    let block = hash::pair(u64::from(address >> BLOCK_BITS), 0);
+    let block = hash::combine(u64::from(address >> BLOCK_BITS), 0);
     let mut answer = Answer { positions: [0; MAX_ENTRIES], length: 0, region: None };
     let home = table.home(address).unwrap_or_else(|| nearest(block, view));
-    let region = first_with(view, shares.region(home, hash::unit(block)), block);
+    let region = first_with(view, shares.region(home, hash::unit_interval(block)), block);
     answer.region = region;
     let Some(region) = region else { return answer };
     let local = if most > 1 { most - 1 } else { most };
--- a/crates/steer/src/view.rs
+++ b/crates/steer/src/view.rs
@@ -108,7 +108,7 @@
 /// The best entry instances for `key`: the second is of another failure domain if there is one.
 fn rank(entries: &[Entry], seeds: &[u64], usable: &[u16], key: u64) -> [u16; MAX_ENTRIES] {
     let mut scored: Vec<(u64, u16)> =
-        usable.iter().map(|position| (hash::pair(key, seeds[usize::from(*position)]), *position)).collect();
+        usable.iter().map(|position| (hash::combine(key, seeds[usize::from(*position)]), *position)).collect();
     scored.sort_unstable_by(|one, other| other.cmp(one));
     let domain = |position: u16| entries[usize::from(position)].domain;
     let first = domain(scored[0].1);
--- a/crates/store/src/call.rs
+++ b/crates/store/src/call.rs
@@ -34,7 +34,7 @@
     /// Renews a lease.
     Renew(Lease),
     /// Ends a lease; its keys go with it.
-    End(Lease),
+    Revoke(Lease),
 }
 
 impl Call {
@@ -47,7 +47,7 @@
             Self::Commit(_) => "commit",
             Self::Grant(_) => "grant",
             Self::Renew(_) => "renew",
-            Self::End(_) => "end",
+            Self::Revoke(_) => "end",
         }
     }
 }
@@ -83,7 +83,7 @@
         revision: u64,
     },
     /// The changes after the revision asked for are not known any more.
-    Forgotten,
+    Compacted,
     /// The commit took effect at this revision.
     Done(u64),
     /// An expected revision did not match, or the lease is gone; nothing took effect.
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -8,7 +8,7 @@
 use crate::call::Event;
 
 /// Bytes of values in one message at most; a single larger value goes alone.
-pub const PAGE_BYTES: usize = 400_000;
+pub const MAX_PAGE_BYTES: usize = 400_000;
 
 /// A value: mostly text, which is shorter on the wire than a list of numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
     pub age_ms: u64,
     /// Set for a key that is missing in the store and kept for so many milliseconds more.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
-    pub missing_ms: Option<u64>,
+    pub expires_in_ms: Option<u64>,
 }
 
 impl Item {
@@ -76,13 +76,13 @@
     pub age_ms: Option<u64>,
     /// How long the question was kept waiting, in milliseconds.
     #[serde(rename = "h")]
-    pub held_ms: u64,
+    pub waited_ms: u64,
     /// For how long keys that are found missing are still kept, since their writers may come back, in milliseconds.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
-    pub returning_ms: u64,
+    pub grace_ms: u64,
     /// Whether `items` are all keys, or a page of them, rather than those that changed.
     #[serde(rename = "a", default, skip_serializing_if = "std::ops::Not::not")]
-    pub whole: bool,
+    pub full: bool,
     /// Whether more keys follow behind the last one.
     #[serde(rename = "m", default, skip_serializing_if = "std::ops::Not::not")]
     pub more: bool,
@@ -91,19 +91,19 @@
     pub items: Vec<Item>,
     /// Keys that were deleted, each with the revision of that.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
-    pub gone: Vec<(String, u64)>,
+    pub tombstones: Vec<(String, u64)>,
 }
 
 impl Changes {
     /// How old the copy's knowledge was when the message came, `took` after the question was sent.
     pub fn age(&self, took: Duration) -> Option<Duration> {
-        let way = took.saturating_sub(Duration::from_millis(self.held_ms));
+        let way = took.saturating_sub(Duration::from_millis(self.waited_ms));
         self.age_ms.map(|age| Duration::from_millis(age) + way)
     }
 
     /// Deletions, as a watch tells them.
     pub fn deletions(&self) -> impl Iterator<Item = Event> {
-        self.gone.iter().map(|(key, revision)| Event::Delete(key.clone(), *revision))
+        self.tombstones.iter().map(|(key, revision)| Event::Delete(key.clone(), *revision))
     }
 }
 
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use h1::Room;
+use h1::Budget;
 use h1::client::{self, Connection, Fault};
 use http::header::{CONTENT_TYPE, HOST, HeaderMap, HeaderValue};
 use tokio::runtime::{Builder, Handle, Runtime};
@@ -41,7 +41,7 @@
     runner: Runner,
     idle: Mutex<Vec<(Connection, Instant)>>,
     calls: AtomicU64,
-    room: Room,
+    budget: Budget,
 }
 
 impl Client {
@@ -59,8 +59,8 @@
 
     fn with_runner(codec: Codec, address: &str, timeout: Duration, runner: Runner) -> Self {
         let address = address.to_owned();
-        let (idle, calls, room) = (Mutex::new(Vec::new()), AtomicU64::new(0), Room::new(ROOM_BYTES));
-        Self { codec, address, timeout, runner, idle, calls, room }
+        let (idle, calls, budget) = (Mutex::new(Vec::new()), AtomicU64::new(0), Budget::new(ROOM_BYTES));
+        Self { codec, address, timeout, runner, idle, calls, budget }
     }
 
     /// Calls made since the start.
@@ -109,8 +109,8 @@
             target: &message.target,
             headers: &headers,
             body: &body,
-            max_answer: MAX_ANSWER_BYTES,
-            room: &self.room,
+            max_answer_bytes: MAX_ANSWER_BYTES,
+            budget: &self.budget,
         };
         let answer = connection.exchange(call, |_| true).await.map_err(fault)?;
         if answer.reusable {
--- a/crates/store/src/etcd.rs
+++ b/crates/store/src/etcd.rs
@@ -33,7 +33,7 @@
         }
         Call::Grant(ttl) => message("/v3/lease/grant", &GrantRequest { ttl: Number(ttl.as_secs()) }),
         Call::Renew(lease) => message("/v3/lease/keepalive", &LeaseRequest { id: Number(lease.0) }),
-        Call::End(lease) => message("/v3/lease/revoke", &LeaseRequest { id: Number(lease.0) }),
+        Call::Revoke(lease) => message("/v3/lease/revoke", &LeaseRequest { id: Number(lease.0) }),
         Call::Watch { .. } => Err(Error::Refused("this store has no watches here".to_owned())),
     }
 }
@@ -57,7 +57,7 @@
         }
         Call::Grant(_) => Reply::Lease(Lease(parse::<LeaseResponse>(body)?.id.0)),
         Call::Renew(_) => Reply::Renewed(parse::<RenewResponse>(body)?.result.ttl.0 > 0),
-        Call::End(_) => Reply::Renewed(false),
+        Call::Revoke(_) => Reply::Renewed(false),
         Call::Watch { .. } => return Err(Error::Refused("this store has no watches here".to_owned())),
     })
 }
--- a/crates/store/src/liveness.rs
+++ b/crates/store/src/liveness.rs
@@ -31,13 +31,13 @@
     }
 
     /// A check was not answered.
-    pub const fn fail(&mut self) {
+    pub const fn record_failure(&mut self) {
         self.missed = true;
     }
 
     /// A check sent at `sent` was answered with the store's `revision`, while the watch has told of changes up to
     /// `known` and gathers them for `gather`; says whether the watch stalled.
-    pub fn answer(&mut self, revision: u64, known: u64, gather: Duration, sent: Time, now: Time) -> bool {
+    pub fn record_answer(&mut self, revision: u64, known: u64, gather: Duration, sent: Time, now: Time) -> bool {
         self.last = Some((revision, sent));
         if std::mem::take(&mut self.missed) {
             self.awaited = None;
@@ -46,7 +46,7 @@
         if self.awaited.is_none() && revision > known {
             self.awaited = Some((revision, now + gather * 2 + now.since(sent) * ANSWERS + SLACK));
         }
-        self.overdue(known, now)
+        self.check_overdue(known, now)
     }
 
     /// When all changes up to `known` were all there were, if the last answer shows it.
@@ -55,7 +55,7 @@
     }
 
     /// Whether the watch should have told by `now` of a revision above `known`.
-    pub fn overdue(&mut self, known: u64, now: Time) -> bool {
+    pub fn check_overdue(&mut self, known: u64, now: Time) -> bool {
         self.awaited = self.awaited.filter(|(revision, _)| *revision > known);
         let overdue = self.awaited.is_some_and(|(_, until)| now >= until);
         if overdue {
@@ -64,8 +64,8 @@
         overdue
     }
 
-    /// When `overdue` is worth asking.
-    pub fn wake(&self) -> Option<Time> {
+    /// When `check_overdue` is worth asking.
+    pub fn next_deadline(&self) -> Option<Time> {
         self.awaited.map(|(_, until)| until)
     }
 }
--- a/crates/store/src/mirror/mod.rs
+++ b/crates/store/src/mirror/mod.rs
@@ -3,7 +3,7 @@
 //! A key that is found missing soon after the store was away may have gone with a lease that nobody could renew;
 //! its writer gets a moment to come back before it is believed gone.
 
-mod passing;
+mod relay;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -24,13 +24,13 @@
 
 /// A key as it was last seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct Record {
     /// Its value.
     pub value: Vec<u8>,
     /// Revision of its last change.
     pub revision: u64,
     /// When this value was first seen.
-    pub seen: Time,
+    pub first_seen: Time,
     /// Until when the key is kept although it is missing.
     missing: Option<Time>,
 }
@@ -38,7 +38,7 @@
 /// The copy.
 #[derive(Debug, Clone, Default)]
 pub struct Mirror {
-    held: BTreeMap<String, Held>,
+    held: BTreeMap<String, Record>,
     revision: u64,
     /// Revision of the latest change below each folder, the first part of a key.
     latest: BTreeMap<String, u64>,
@@ -67,28 +67,28 @@
     }
 
     /// When the store last answered.
-    pub const fn answered(&self) -> Option<Time> {
+    pub const fn last_answer(&self) -> Option<Time> {
         self.answered
     }
 
     /// Keys that start with `prefix`, in order.
-    pub fn range<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Held)> {
+    pub fn range<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Record)> {
         let from = self.held.range(prefix.to_owned()..);
         from.take_while(move |(key, _)| key.starts_with(prefix)).map(|(key, held)| (key.as_str(), held))
     }
 
     /// One key.
-    pub fn get(&self, key: &str) -> Option<&Held> {
+    pub fn get(&self, key: &str) -> Option<&Record> {
         self.held.get(key)
     }
 
     /// Revision of the latest change below `folder`; zero if nothing is known of it.
-    pub fn latest(&self, folder: &str) -> u64 {
+    pub fn latest_revision(&self, folder: &str) -> u64 {
         self.latest.get(folder).copied().unwrap_or(0)
     }
 
     /// The store answered a call that was made at `sent`; says whether it was away before.
-    pub fn note_answer(&mut self, sent: Time, now: Time) -> bool {
+    pub fn record_answer(&mut self, sent: Time, now: Time) -> bool {
         let away = self.failing.take().is_some_and(|since| sent.since(since) > AWAY);
         if away {
             self.returning = now + RETURN;
@@ -98,7 +98,7 @@
     }
 
     /// Calls fail since `since`: until one is answered, leases may lapse.
-    pub fn note_failure(&mut self, since: Time) {
+    pub fn record_failure(&mut self, since: Time) {
         self.failing.get_or_insert(since);
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Drops keys that did not come back in time; says whether anything changed.
-    pub fn tick(&mut self, now: Time) -> bool {
+    pub fn remove_expired(&mut self, now: Time) -> bool {
         let before = self.held.len();
         let gone = self.held.iter().filter(|(_, held)| held.missing.is_some_and(|until| now >= until));
         let gone: Vec<String> = gone.map(|(key, _)| key.clone()).collect();
@@ -194,7 +194,7 @@
             }
         }
         self.note_change(&entry.key, entry.revision);
-        let held = Held { value: entry.value, revision: entry.revision, seen: now, missing: None };
+        let held = Record { value: entry.value, revision: entry.revision, first_seen: now, missing: None };
         self.held.insert(entry.key, held);
         true
     }
--- a/crates/store/src/mirror/passing.rs
+++ b/crates/store/src/mirror/relay.rs
@@ -6,8 +6,8 @@
 
 use base::time::Time;
 
-use super::{Held, Mirror};
-use crate::changes::{Changes, Item, PAGE_BYTES};
+use super::{Mirror, Record};
+use crate::changes::{Changes, Item, MAX_PAGE_BYTES};
 
 /// Age of a teller's knowledge up to which it has heard of the store all the while.
 const KNOWING: Duration = Duration::from_millis(1_250);
@@ -24,12 +24,12 @@
             revision: self.revision,
             after: 0,
             age_ms: self.confirmed.map(age),
-            held_ms: 0,
-            returning_ms: self.returning.since(now).as_millis() as u64,
-            whole: false,
+            waited_ms: 0,
+            grace_ms: self.returning.since(now).as_millis() as u64,
+            full: false,
             more: false,
             items: Vec::new(),
-            gone: Vec::new(),
+            tombstones: Vec::new(),
         };
         if after < self.gone_since {
             return Some(self.page(told, from, now));
@@ -37,11 +37,11 @@
         let changed = self.held.iter().filter(|(_, held)| held.revision > after);
         let items: Vec<Item> = changed.map(|(key, held)| item(key, held, now)).collect();
         let bytes: usize = self.held.values().filter(|held| held.revision > after).map(|held| held.value.len()).sum();
-        if bytes > PAGE_BYTES {
+        if bytes > MAX_PAGE_BYTES {
             return Some(self.page(told, from, now));
         }
-        let gone = self.gone.iter().filter(|(_, revision)| *revision > after).cloned().collect();
-        Some(Changes { after, items, gone, ..told })
+        let tombstones = self.gone.iter().filter(|(_, revision)| *revision > after).cloned().collect();
+        Some(Changes { after, items, tombstones, ..told })
     }
 
     /// All keys behind `from` that fit into one message.
@@ -51,12 +51,12 @@
         let mut bytes = 0;
         for (key, held) in self.held.range(behind) {
             bytes += held.value.len();
-            if bytes > PAGE_BYTES && !items.is_empty() {
-                return Changes { whole: true, more: true, items, ..told };
+            if bytes > MAX_PAGE_BYTES && !items.is_empty() {
+                return Changes { full: true, more: true, items, ..told };
             }
             items.push(item(key, held, now));
         }
-        Changes { whole: true, items, ..told }
+        Changes { full: true, items, ..told }
     }
 
     /// Takes in what another copy passes on; says whether anything changed. `items` are those of all pages, if it is
@@ -66,7 +66,7 @@
         let mut changed = false;
         // A gap would go unnoticed, and an older picture than ours would bring back what has gone since.
         let fits = told.after <= self.revision && told.revision >= self.revision;
-        if fits && told.whole {
+        if fits && told.full {
             let listed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
             changed |= self.lose_all_but(&listed, told.revision, now);
             changed |= self.put_all(items, now);
@@ -84,9 +84,9 @@
     /// Whoever has heard of the store all the while knows best whether it was away: our own calls may have failed for
     /// another reason.
     fn learn_returning(&mut self, told: &Changes, took: Duration, now: Time) {
-        let returning = now + Duration::from_millis(told.returning_ms);
+        let returning = now + Duration::from_millis(told.grace_ms);
         if told.age(took).is_none_or(|age| age >= KNOWING) {
-            self.returning = if told.returning_ms > 0 { self.returning.max(returning) } else { self.returning };
+            self.returning = if told.grace_ms > 0 { self.returning.max(returning) } else { self.returning };
             return;
         }
         self.returning = returning;
@@ -100,7 +100,7 @@
         for item in items {
             let (key, revision) = (item.key.clone(), item.revision);
             let seen = now - Duration::from_millis(item.age_ms);
-            let missing = item.missing_ms.map(|left| now + Duration::from_millis(left));
+            let missing = item.expires_in_ms.map(|left| now + Duration::from_millis(left));
             // A key that another copy only keeps for a while is not brought back: we may know that it is gone.
             if missing.is_none() || self.revision == 0 {
                 changed |= self.put(item.entry(), seen);
@@ -114,12 +114,12 @@
     }
 }
 
-fn item(key: &str, held: &Held, now: Time) -> Item {
+fn item(key: &str, held: &Record, now: Time) -> Item {
     Item {
         key: key.to_owned(),
         value: held.value.as_slice().into(),
         revision: held.revision,
-        age_ms: now.since(held.seen).as_millis() as u64,
-        missing_ms: held.missing.map(|until| until.since(now).as_millis() as u64),
+        age_ms: now.since(held.first_seen).as_millis() as u64,
+        expires_in_ms: held.missing.map(|until| until.since(now).as_millis() as u64),
     }
 }
--- a/crates/store/tests/changes.rs
+++ b/crates/store/tests/changes.rs
@@ -144,9 +144,9 @@
     let mut mirror = Mirror::new();
     mirror.replace(vec![entry("op/config", "{}", 3), entry("op/drain/a", "{}", 5)], 5, START);
     mirror.replace(vec![entry("op/config", "{}", 3)], 9, START);
-    let before = mirror.latest("op");
+    let before = mirror.latest_revision("op");
     assert!(mirror.apply(vec![Event::Put(entry("op/config", "{1}", 10))], 10, START));
-    assert!(mirror.latest("op") > before, "the change is newer than all before");
+    assert!(mirror.latest_revision("op") > before, "the change is newer than all before");
 }
 
 #[test]
@@ -166,11 +166,11 @@
 #[test]
 fn keys_whose_writers_may_come_back_are_passed_on_with_the_time_they_have() {
     let mut one = Mirror::new();
-    one.note_answer(START, START);
+    one.record_answer(START, START);
     one.replace(vec![entry("a/1", "x", 3), entry("b/1", "y", 5)], 5, START);
     let back = START + Duration::from_secs(5);
-    one.note_failure(START + Duration::from_secs(1));
-    assert!(one.note_answer(back, back));
+    one.record_failure(START + Duration::from_secs(1));
+    assert!(one.record_answer(back, back));
     one.apply(vec![Event::Delete("b/1".to_owned(), 9)], 9, back);
     let soon = back + Duration::from_millis(500);
     let mut started = Mirror::new();
@@ -186,7 +186,7 @@
     pass_on(&listed, &mut behind, soon);
     for copy in [&mut started, &mut followed, &mut behind] {
         assert!(copy.get("b/1").is_some(), "its writer may come back");
-        copy.tick(back + Duration::from_millis(2_100));
+        copy.remove_expired(back + Duration::from_millis(2_100));
         assert!(copy.get("b/1").is_none(), "it did not");
     }
 }
@@ -197,14 +197,14 @@
 fn a_key_that_another_copy_only_keeps_is_not_brought_back() {
     let all = || vec![entry("a/1", "x", 3), entry("b/1", "y", 5)];
     let mut cut_off = Mirror::new();
-    cut_off.note_answer(START, START);
+    cut_off.record_answer(START, START);
     cut_off.replace(all(), 5, START);
     let mut knowing = Mirror::new();
     knowing.replace(all(), 5, START);
     knowing.apply(vec![Event::Delete("b/1".to_owned(), 9)], 9, START);
     let back = START + Duration::from_secs(5);
-    cut_off.note_failure(START + Duration::from_secs(1));
-    assert!(cut_off.note_answer(back, back));
+    cut_off.record_failure(START + Duration::from_secs(1));
+    assert!(cut_off.record_answer(back, back));
     cut_off.replace(vec![entry("a/1", "x", 3)], 20, back);
     assert!(cut_off.get("b/1").is_some());
     pass_on(&cut_off, &mut knowing, back);
@@ -216,18 +216,18 @@
 #[test]
 fn a_copy_that_takes_its_own_trouble_for_an_outage_is_corrected() {
     let mut choked = Mirror::new();
-    choked.note_answer(START, START);
+    choked.record_answer(START, START);
     choked.replace(vec![entry("a/1", "x", 3), entry("b/1", "y", 5)], 5, START);
     let mut knowing = choked.clone();
     knowing.apply(vec![Event::Delete("b/1".to_owned(), 9)], 9, START);
     let back = START + Duration::from_secs(2);
-    choked.note_failure(START + Duration::from_millis(500));
-    assert!(choked.note_answer(back, back));
+    choked.record_failure(START + Duration::from_millis(500));
+    assert!(choked.record_answer(back, back));
     choked.apply(vec![Event::Delete("b/1".to_owned(), 9)], 9, back);
     assert!(choked.get("b/1").is_some(), "it may come back, if the store was away");
     knowing.confirm(back);
     pass_on(&knowing, &mut choked, back);
-    choked.tick(back);
+    choked.remove_expired(back);
     assert!(choked.get("b/1").is_none(), "the store was not away");
 }
 
@@ -236,7 +236,7 @@
 #[case::kept_waiting(900, 930, 10, 40)]
 #[case::stood_still_with_it(0, 5_000, 0, 5_000)]
 fn knowledge_is_as_old_as_the_way_and_the_teller_make_it(
-    #[case] held_ms: u64,
+    #[case] waited_ms: u64,
     #[case] took_ms: u64,
     #[case] age_ms: u64,
     #[case] old_ms: u64,
@@ -245,7 +245,7 @@
     one.replace(vec![entry("a/1", "x", 3)], 5, START);
     one.confirm(START);
     let told = one.changes(0, "", START + Duration::from_millis(age_ms)).expect("there is a copy");
-    let told = Changes { held_ms, ..told };
+    let told = Changes { waited_ms, ..told };
     assert_eq!(told.age(Duration::from_millis(took_ms)), Some(Duration::from_millis(old_ms)));
 }
 
--- a/crates/store/tests/liveness.rs
+++ b/crates/store/tests/liveness.rs
@@ -17,22 +17,22 @@
 #[test]
 fn a_check_that_failed_and_then_came_back_shows_a_stalled_watch() {
     let mut liveness = Liveness::new();
-    assert!(!liveness.answer(5, 5, GATHER, START, START));
-    liveness.fail();
-    liveness.fail();
-    assert!(liveness.answer(5, 5, GATHER, after(2_000), after(2_004)), "whatever the revision is");
-    assert!(!liveness.answer(5, 5, GATHER, after(3_000), after(3_004)), "and once only");
+    assert!(!liveness.record_answer(5, 5, GATHER, START, START));
+    liveness.record_failure();
+    liveness.record_failure();
+    assert!(liveness.record_answer(5, 5, GATHER, after(2_000), after(2_004)), "whatever the revision is");
+    assert!(!liveness.record_answer(5, 5, GATHER, after(3_000), after(3_004)), "and once only");
 }
 
 /// Fault: something between forgot the watch's connection. The store's revision moves on, the watch's does not.
 #[test]
 fn a_revision_that_the_watch_does_not_reach_shows_a_stalled_watch() {
     let mut liveness = Liveness::new();
-    assert!(!liveness.answer(9, 5, GATHER, START, after(4)), "the change may be on its way");
-    let due = liveness.wake().expect("there is something to wait for");
-    assert!(!liveness.overdue(5, Time::from_micros(due.as_micros() - 1)));
-    assert!(liveness.overdue(5, due));
-    assert!(!liveness.overdue(5, due), "once only");
+    assert!(!liveness.record_answer(9, 5, GATHER, START, after(4)), "the change may be on its way");
+    let due = liveness.next_deadline().expect("there is something to wait for");
+    assert!(!liveness.check_overdue(5, Time::from_micros(due.as_micros() - 1)));
+    assert!(liveness.check_overdue(5, due));
+    assert!(!liveness.check_overdue(5, due), "once only");
     assert!(due.since(START) <= Duration::from_millis(500), "a change must be in force within two seconds");
 }
 
@@ -50,9 +50,9 @@
         let now = after(step * 10);
         let revision = |at: Time| at.since(START).as_millis() as u64 / 50 + 5;
         let known = if now.since(START) > lag { revision(START + now.since(START).saturating_sub(lag)) } else { 5 };
-        assert!(!liveness.overdue(known, now), "at step {step}");
+        assert!(!liveness.check_overdue(known, now), "at step {step}");
         if step % 100 == 0 {
-            assert!(!liveness.answer(revision(now), known, gather, now, now + way), "at step {step}");
+            assert!(!liveness.record_answer(revision(now), known, gather, now, now + way), "at step {step}");
         }
     }
 }
--- a/crates/store/tests/mirror.rs
+++ b/crates/store/tests/mirror.rs
@@ -14,7 +14,7 @@
 /// A copy of two keys, true at revision 5.
 fn mirror() -> Mirror {
     let mut mirror = Mirror::new();
-    mirror.note_answer(START, START);
+    mirror.record_answer(START, START);
     mirror.replace(vec![entry("a/1", "x", 3), entry("b/1", "y", 5)], 5, START);
     mirror
 }
@@ -27,7 +27,7 @@
     assert!(!mirror.apply(vec![Event::Put(entry("a/1", "x", 3))], 8, START), "an older change changes nothing");
     assert_eq!(mirror.get("a/1").map(|held| held.value.as_slice()), Some(b"z".as_slice()));
     assert!(mirror.get("b/1").is_none());
-    assert_eq!((mirror.latest("a"), mirror.latest("b")), (7, 8));
+    assert_eq!((mirror.latest_revision("a"), mirror.latest_revision("b")), (7, 8));
     assert!(!mirror.apply(vec![Event::Put(entry("a/1", "z", 9))], 9, START), "the same value is no change");
 }
 
@@ -47,29 +47,29 @@
 fn a_key_missing_at_the_stores_return_is_kept_for_a_moment_only() {
     let mut mirror = mirror();
     let back = START + Duration::from_secs(5);
-    mirror.note_failure(START + Duration::from_secs(1));
-    assert!(mirror.note_answer(back, back));
+    mirror.record_failure(START + Duration::from_secs(1));
+    assert!(mirror.record_answer(back, back));
     assert!(!mirror.replace(vec![entry("a/1", "x", 3)], 9, back));
     assert!(mirror.get("b/1").is_some(), "its writer may come back");
     let later = back + Duration::from_millis(1_900);
-    assert!(!mirror.tick(later));
+    assert!(!mirror.remove_expired(later));
     assert!(!mirror.apply(vec![Event::Put(entry("b/1", "y", 11))], 11, later), "it is the same as before");
-    assert!(!mirror.tick(back + Duration::from_secs(9)));
+    assert!(!mirror.remove_expired(back + Duration::from_secs(9)));
     assert!(mirror.get("b/1").is_some());
 
     let mut silent = self::mirror();
-    silent.note_failure(START);
-    silent.note_answer(back, back);
+    silent.record_failure(START);
+    silent.record_answer(back, back);
     silent.apply(vec![Event::Delete("b/1".to_owned(), 9)], 9, back);
-    assert!(silent.tick(back + Duration::from_millis(2_200)));
-    assert!(silent.get("b/1").is_none() && silent.latest("b") >= 9);
+    assert!(silent.remove_expired(back + Duration::from_millis(2_200)));
+    assert!(silent.get("b/1").is_none() && silent.latest_revision("b") >= 9);
 }
 
 #[test]
 fn a_key_deleted_while_the_store_answers_is_gone_at_once() {
     let mut mirror = mirror();
     let soon = START + Duration::from_millis(500);
-    assert!(!mirror.note_answer(soon, soon));
+    assert!(!mirror.record_answer(soon, soon));
     assert!(mirror.apply(vec![Event::Delete("a/1".to_owned(), 6)], 6, soon));
     assert!(mirror.get("a/1").is_none());
 }
@@ -79,10 +79,10 @@
 fn a_pause_of_our_own_keeps_no_key() {
     let mut mirror = mirror();
     let woken = START + Duration::from_secs(9);
-    assert!(!mirror.note_answer(woken, woken));
-    mirror.note_failure(woken);
+    assert!(!mirror.record_answer(woken, woken));
+    mirror.record_failure(woken);
     let again = woken + Duration::from_millis(60);
-    assert!(!mirror.note_answer(again, again));
+    assert!(!mirror.record_answer(again, again));
     assert!(mirror.apply(vec![Event::Delete("a/1".to_owned(), 6)], 6, again));
     assert!(mirror.get("a/1").is_none());
 }
