--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -96,5 +96,5 @@
 }
 
 fn checksum(revision: u64, text: &str) -> u64 {
-    hash::pair(hash::bytes(text.as_bytes()), revision)
+    hash::combine(hash::bytes(text.as_bytes()), revision)
 }
