--- a/crates/daemon/examples/prepare.rs
+++ b/crates/daemon/examples/prepare.rs
@@ -11,7 +11,7 @@
 use daemon::context::{Context, lock};
 use daemon::instance_list::Item;
 use daemon::{policies, view};
-use fleet::Copy;
+use fleet::Document;
 use fleet::message::{Record, Snapshot, State as Standing};
 
 const ROUNDS: u32 = 50;
@@ -29,7 +29,7 @@
         operators: String::new(),
         slots: 3,
         connections: 0,
-        born: 1 + number as u64,
+        started_at: 1 + number as u64,
         state: State::Live,
     }
 }
@@ -38,11 +38,11 @@
     Record {
         name: format!("front-{number}"),
         incarnation: 1,
-        beat: 1,
+        refutations: 1,
         state: Standing::Alive,
-        peers: format!("10.9.{}.{}:7200", number / 250, number % 250),
+        peer_address: format!("10.9.{}.{}:7200", number / 250, number % 250),
         domain: format!("d{}", number % REGIONS),
-        callers: format!("10.9.{}.{}:7000", number / 250, number % 250),
+        caller_address: format!("10.9.{}.{}:7000", number / 250, number % 250),
     }
 }
 
@@ -78,8 +78,9 @@
         lock(&context.instance_list).replace(items, context.now());
         let now = context.now();
         let records = (0..daemons).map(record).collect();
-        lock(&context.roster).adopt(&Snapshot { records, policy: None, leaving: Vec::new(), copy: false }, now);
-        policies::apply(&context, Copy::new(1, policy()), "example");
+        lock(&context.roster)
+            .merge_snapshot(&Snapshot { records, policy: None, leaving: Vec::new(), has_mirror: false }, now);
+        policies::apply(&context, Document::new(1, policy()), "example");
         let unchanged = time(|_| view::refresh(&context));
         let changed = time(|round| {
             let mut items = lock(&context.instance_list).items.to_vec();
--- a/crates/daemon/src/at_most_once.rs
+++ b/crates/daemon/src/at_most_once.rs
@@ -7,9 +7,9 @@
 use base::error::Kind;
 use base::hash;
 use base::time::Time;
+use ledger::acquire::{self, Acquisition, Action, Call, Reply, Status};
 use ledger::claim::Claim;
-use ledger::make::{Call, Held, Maker, Progress, Reply, Word};
-use ledger::table::Step;
+use ledger::table::Admission;
 use store::{Change, Commit, Error, Lease, Store as _, key};
 
 use crate::Context;
@@ -48,11 +48,11 @@
 
 /// Returns the hash of an idempotency key; a key within a session differs from the same key without one.
 pub fn key_hash(session: Option<&str>, key: &str) -> u128 {
-    hash::wide(format!("{}\n{key}", session.unwrap_or_default()).as_bytes())
+    hash::bytes_128(format!("{}\n{key}", session.unwrap_or_default()).as_bytes())
 }
 
 /// Registers a request with the ledger; returns how to proceed with it.
-pub fn begin(context: &Context, request: &KeyedRequest) -> Step<Arc<Response>> {
+pub fn begin(context: &Context, request: &KeyedRequest) -> Admission<Arc<Response>> {
     let now = context.now();
     lock(&context.ledger).begin(request.key, request.fingerprint, request.in_session, now)
 }
@@ -63,20 +63,20 @@
     if request.in_session || lock(&request.claim_revision).is_some() {
         return Ok(());
     }
-    lock(&context.ledger).claiming(request.key);
+    lock(&context.ledger).record_claim_sent(request.key);
     let held = acquire(context, request, deadline);
-    if let Held::Ours(revision) = &held {
+    if let acquire::Outcome::Acquired(revision) = &held {
         *lock(&request.claim_revision) = Some(*revision);
     }
     let now = context.now();
-    match lock(&context.ledger).claimed(request.key, held, now) {
-        Step::Run => Ok(()),
-        Step::Refuse(kind) => Err(kind),
-        Step::Replay(response) => {
+    match lock(&context.ledger).finish_claim(request.key, held, now) {
+        Admission::Run => Ok(()),
+        Admission::Refuse(kind) => Err(kind),
+        Admission::Replay(response) => {
             *lock(&request.earlier_response) = Some(response);
             Err(Kind::AlreadyClaimed)
         }
-        Step::Claim => Err(Kind::ClaimUnavailable),
+        Admission::Claim => Err(Kind::ClaimUnavailable),
     }
 }
 
@@ -90,9 +90,9 @@
     let now = context.now();
     let mut ledger = lock(&context.ledger);
     match &outcome {
-        Ok(response) => ledger.ran(request.key, Arc::clone(response), response.bytes(), now),
+        Ok(response) => ledger.record_answer(request.key, Arc::clone(response), response.bytes(), now),
         Err(refusal) => {
-            let release = ledger.failed(request.key, refusal.kind, now);
+            let release = ledger.record_failure(request.key, refusal.kind, now);
             drop(ledger);
             if release {
                 release_claim(context, request);
@@ -104,24 +104,24 @@
 
 /// Returns what this daemon knows of a key that it claimed, for a peer. A key that never ran here never will from then
 /// on, as the peer takes it over.
-pub fn claim_status(context: &Context, key: u128) -> Word<Arc<Response>> {
+pub fn claim_status(context: &Context, key: u128) -> Status<Arc<Response>> {
     let now = context.now();
-    lock(&context.ledger).word(key, now)
+    lock(&context.ledger).status(key, now)
 }
 
 /// Writes the claim to the store; if another daemon holds it, asks that daemon whether the request ran.
-fn acquire(context: &Arc<Context>, request: &KeyedRequest, deadline: Time) -> Held<Arc<Response>> {
+fn acquire(context: &Arc<Context>, request: &KeyedRequest, deadline: Time) -> acquire::Outcome<Arc<Response>> {
     let give_up = deadline - Duration::from_millis(CLAIM_MARGIN_MS);
-    let unsent = lock(&context.ledger).unsent(request.key);
-    let maker = Maker::new(context.incarnation, request.fingerprint, unsent, give_up);
-    let mut progress = maker.first();
+    let unsent = lock(&context.ledger).is_unsent(request.key);
+    let maker = Acquisition::new(context.incarnation, request.fingerprint, unsent, give_up);
+    let mut progress = maker.start();
     loop {
         match progress {
-            Progress::Call(call) => {
+            Action::Call(call) => {
                 let reply = perform(context, request, call);
-                progress = maker.next(reply, context.now());
+                progress = maker.handle(reply, context.now());
             }
-            Progress::End(held) => return held,
+            Action::Finish(held) => return held,
         }
     }
 }
@@ -132,8 +132,8 @@
         Call::Write(expect) => write_claim(context, request, &name, expect),
         Call::Read => read_claim(context, &name),
         Call::Ask(claim, revision) => {
-            let word = peers::client::word(context, &claim.peers, claim.incarnation, request.key);
-            return Reply::Said(word, revision);
+            let word = peers::client::word(context, &claim.peer_address, claim.incarnation, request.key);
+            return Reply::Status(word, revision);
         }
     };
     let failed = matches!(reply, Reply::Unsent | Reply::Lost);
@@ -150,7 +150,7 @@
     let claim = Claim {
         incarnation: context.incarnation,
         fingerprint: request.fingerprint,
-        peers: context.settings.fleet.address.clone(),
+        peer_address: context.settings.fleet.address.clone(),
     };
     let change = Change::set(name, expect, claim.to_bytes()).with_lease(lease);
     match context.store.commit(&[change]) {
@@ -198,7 +198,7 @@
     runtime.spawn_blocking(move || {
         let deleted = context.store.commit(&[Change::delete(&key::claim(key), revision)]);
         if matches!(deleted, Ok(Commit::Done(_))) {
-            lock(&context.ledger).released(key);
+            lock(&context.ledger).record_release(key);
         }
     });
 }
@@ -208,8 +208,8 @@
 pub fn withdraw(context: &Context, request: &KeyedRequest) {
     let now = context.now();
     let mut ledger = lock(&context.ledger);
-    if ledger.unsent(request.key) {
-        let step = ledger.claimed(request.key, Held::Silent, now);
+    if ledger.is_unsent(request.key) {
+        let step = ledger.finish_claim(request.key, acquire::Outcome::Unavailable, now);
         log::debug!("orders: claim withdrawn step={step:?}");
     }
 }
--- a/crates/daemon/src/backends/leaving.rs
+++ b/crates/daemon/src/backends/leaving.rs
@@ -27,17 +27,17 @@
     }
     if let Some(pause) = head::text(headers, &RETRY_AFTER).and_then(pause) {
         let now = context.now();
-        context.driver.with_engine_mut(context, |engine| engine.note_pause(backend, pause, now));
+        context.driver.with_engine_mut(context, |engine| engine.record_pause(backend, pause, now));
     }
 }
 
 /// Notes that a server leaves; says whether that is news.
 pub fn note(context: &Arc<Context>, backend: BackendId) -> bool {
     let steering = context.steering();
-    let unborn = steering.backends.get(&backend).is_some_and(|instance| instance.born == 0);
+    let unborn = steering.backends.get(&backend).is_some_and(|instance| instance.started_at == 0);
     let now = context.now();
     let until = now + if unborn { LEAVES_UNBORN } else { LEAVES };
-    context.driver.with_engine_mut(context, |engine| engine.note_leaving(backend, until, now))
+    context.driver.with_engine_mut(context, |engine| engine.record_leaving(backend, until, now))
 }
 
 /// Seconds, with fractions or without.
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use h1::head;
 use http::header::{CONTENT_LENGTH, EXPECT, HOST, HeaderMap, HeaderName};
-use ledger::table::Step;
+use ledger::table::Admission;
 
 use super::connection::Incoming;
 use super::reply::Reply;
@@ -95,12 +95,12 @@
     let order = if keyed { Some(order(context, &head.headers, fingerprint)?) } else { None };
     if let Some(order) = &order {
         match at_most_once::begin(context, order) {
-            Step::Claim | Step::Run => {}
-            Step::Replay(whole) => {
+            Admission::Claim | Admission::Run => {}
+            Admission::Replay(whole) => {
                 context.metrics.replays.inc();
                 return Ok(whole);
             }
-            Step::Refuse(kind) => return Err(kind.into()),
+            Admission::Refuse(kind) => return Err(kind.into()),
         }
     }
     let submission = submission(context, class, fingerprint, &head.headers);
@@ -192,7 +192,7 @@
 }
 
 fn fingerprint(method: &str, target: &str, body: &Bytes) -> u64 {
-    hash::pair(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
+    hash::combine(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
 }
 
 /// The host that a request names, without its port.
@@ -206,7 +206,7 @@
     let mut passed = HeaderMap::with_capacity(headers.len());
     let kept = |name: &HeaderName| {
         let framing = *name == CONTENT_LENGTH || *name == EXPECT;
-        !framing && !head::is_hop(name.as_str()) && !context.dialect.is_set_by_daemon(name)
+        !framing && !head::is_hop_by_hop(name.as_str()) && !context.dialect.is_set_by_daemon(name)
     };
     for (name, value) in headers.iter().filter(|(name, _)| kept(name)) {
         passed.append(name, value.clone());
@@ -229,5 +229,5 @@
     }
     let good = !own_fault && latency <= Duration::from_millis(target.target_ms);
     let now = context.now();
-    lock(&context.burn).entry(class.to_owned()).or_default().note(good, now);
+    lock(&context.burn).entry(class.to_owned()).or_default().record(good, now);
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 use base::rate::Bucket;
-use base::stall::Stall;
+use base::stall;
 use base::time::Time;
 use config::configs::Settings;
 use config::policy::Policy;
 use dispatch::Engine;
-use dispatch::engine::{Extra, Limits};
-use fleet::copy::Holder;
+use dispatch::engine::{Budgets, Limits};
 use fleet::message::{Record, State};
-use fleet::roster::{Roster, Times};
-use h1::Room;
+use fleet::replica::Replica;
+use fleet::roster::{Roster, Timeouts};
+use h1::Budget;
 use ledger::Ledger;
-use steer::grant::Keeper;
+use steer::grant::Manager;
 use steer::shift::Controller;
 
 use crate::adapter::{Adapter, Catalog};
@@ -59,7 +59,7 @@
     /// Names of headers and paths on the wire to callers and backend servers.
     pub dialect: Arc<Dialect>,
     /// Detects that the process was suspended or did not run.
-    pub stall_detector: Mutex<Stall>,
+    pub stall_detector: Mutex<stall::Detector>,
     /// The clock of all times in this state.
     pub clock: Clock,
     started_at: Time,
@@ -78,7 +78,7 @@
     /// Backend servers as last read from that copy, beside `instance_list`, and what was skipped.
     pub catalog_state: Mutex<CatalogState>,
     /// The policy document in force, as peers may fetch it.
-    pub policy_replica: Mutex<Holder>,
+    pub policy_replica: Mutex<Replica>,
     /// The policy in force, parsed.
     pub active_policy: RwLock<Arc<ActivePolicy>>,
     /// Gossip membership, and the loads, losses and leaving servers that are gossiped.
@@ -86,7 +86,7 @@
     /// Limits how often losses and leaving servers are sent to peers at once instead of with the next exchange.
     pub gossip_limiter: Mutex<Bucket>,
     /// This daemon's slots of the links to other regions and of capacity there.
-    pub grant_manager: Mutex<Keeper>,
+    pub grant_manager: Mutex<Manager>,
     /// Shifts callers between regions by load.
     pub shift_controller: Mutex<Controller>,
     /// State that look-ups and dispatch read; replaced as a whole.
@@ -96,7 +96,7 @@
     /// Instances that the platform lists.
     pub instance_list: Mutex<List>,
     /// Memory budget for backend servers' answers that are being read.
-    pub answer_memory: Room,
+    pub answer_memory: Budget,
     /// Idle connections to backend servers.
     pub pool: Pool,
     /// The dispatch engine with the requests in flight.
@@ -125,24 +125,24 @@
         let record = Record {
             name: settings.instance.clone(),
             incarnation: clock::unix_time_ms(),
-            beat: 0,
+            refutations: 0,
             state: State::Alive,
-            peers: settings.fleet.address.clone(),
+            peer_address: settings.fleet.address.clone(),
             domain: settings.domain.clone(),
-            callers: adapter.catalog.map_or_else(String::new, |_| settings.callers.address.clone()),
+            caller_address: adapter.catalog.map_or_else(String::new, |_| settings.callers.address.clone()),
         };
-        let times = Times { suspect: Duration::from_millis(settings.fleet.suspect_ms) };
+        let timeouts = Timeouts { suspect: Duration::from_millis(settings.fleet.suspect_ms) };
         let timeout = Duration::from_millis(settings.platform.timeout_ms);
         let limits = Limits {
-            queued: settings.dispatch.max_queued as usize,
-            in_flight: settings.dispatch.max_in_flight as usize,
-            poison: Duration::from_secs(settings.dispatch.poison_s),
-            extra: Extra::DEFAULT,
+            max_queued: settings.dispatch.max_queued as usize,
+            max_in_flight: settings.dispatch.max_in_flight as usize,
+            quarantine: Duration::from_secs(settings.dispatch.poison_s),
+            budgets: Budgets::DEFAULT,
         };
         let ledger_limits = ledger::table::Limits {
-            kept: Duration::from_secs(settings.platform.claim_kept_s),
-            session_keys: MAX_SESSION_KEYS,
-            answer_bytes: settings.dispatch.kept_answers_bytes,
+            retention: Duration::from_secs(settings.platform.claim_kept_s),
+            max_session_keys: MAX_SESSION_KEYS,
+            max_answer_bytes: settings.dispatch.kept_answers_bytes,
         };
         let answer_ttl = Duration::from_millis(settings.callers.answer_kept_ms);
         let address = &settings.platform.address;
@@ -153,22 +153,22 @@
             mirror: Mutex::new(store::Mirror::new()),
             mirror_sync: Learning::new(),
             catalog_state: Mutex::new(CatalogState::default()),
-            stall_detector: Mutex::new(Stall::new(now)),
+            stall_detector: Mutex::new(stall::Detector::new(now)),
             clock,
             started_at: now,
             incarnation,
             runtime,
             store,
-            policy_replica: Mutex::new(Holder::new()),
+            policy_replica: Mutex::new(Replica::new()),
             active_policy: RwLock::new(Arc::new(ActivePolicy::new(0, Policy::default()))),
-            roster: Mutex::new(Roster::new(record, times, incarnation)),
+            roster: Mutex::new(Roster::new(record, timeouts, incarnation)),
             gossip_limiter: Mutex::new(peers::telling(now)),
-            grant_manager: Mutex::new(Keeper::new()),
+            grant_manager: Mutex::new(Manager::new()),
             shift_controller: Mutex::new(Controller::new(0, answer_ttl, now)),
             steering: RwLock::new(Arc::new(Steering::default())),
             preparing: Mutex::new(Preparing::default()),
             instance_list: Mutex::new(List::default()),
-            answer_memory: Room::new(settings.dispatch.answers_bytes as usize),
+            answer_memory: Budget::new(settings.dispatch.answers_bytes as usize),
             pool: Pool::new(),
             driver: Driver::new(Engine::new(Vec::new(), limits, incarnation)),
             ledger: Mutex::new(Ledger::new(ledger_limits)),
--- a/crates/daemon/src/decision_log.rs
+++ b/crates/daemon/src/decision_log.rs
@@ -7,7 +7,7 @@
 
 use dispatch::Ending;
 use dispatch::backend::BackendId;
-use dispatch::engine::{Chance, Note, Why};
+use dispatch::engine::{Basis, Candidate, Decision};
 
 use crate::Context;
 use crate::backends::attempt::Sending;
@@ -18,17 +18,17 @@
 const MAX_NAMES: usize = 8;
 
 /// Logs where a request is sent and on what basis; `waited` is the time since it arrived.
-pub fn attempt_sent(context: &Context, outgoing: &Outgoing, sending: Sending, waited: Duration, why: Why) {
+pub fn attempt_sent(context: &Context, outgoing: &Outgoing, sending: Sending, waited: Duration, basis: Basis) {
     let steering = context.steering();
     let target = steering.backends.get(&sending.backend);
     let (server, domain) = target.map_or(("gone", ""), |instance| (&instance.name, &instance.domain));
     let now = context.now();
-    let warm = warm_label(why);
+    let warm = warm_label(basis);
     log::info!(
         request = outgoing.id.as_str(), object = outgoing.object.as_str(), attempt = sending.attempt, server, domain,
-        again = sending.again, warm, own = why.own, load:% = format_args!("{:.2}", why.load),
-        pace:% = format_args!("{:.2}", why.pace),
-        told_ms:% = why.told.map_or(-1, |told| now.since(told).as_millis() as i64),
+        again = sending.again, warm, own = basis.own_in_flight, load:% = format_args!("{:.2}", basis.load),
+        pace:% = format_args!("{:.2}", basis.pace),
+        told_ms:% = basis.reported_at.map_or(-1, |reported_at| now.since(reported_at).as_millis() as i64),
         waited_ms:% = waited.as_millis(), left_ms:% = sending.deadline.since(now).as_millis();
         "dispatch: sent"
     );
@@ -49,56 +49,56 @@
 
 /// Returns whether the server has handled the request's object lately, as `yes` or `no`; a dash for a request without an
 /// object.
-pub fn warm_label(why: Why) -> &'static str {
-    why.warm.map_or("-", |warm| if warm { "yes" } else { "no" })
+pub fn warm_label(basis: Basis) -> &'static str {
+    basis.warm.map_or("-", |warm| if warm { "yes" } else { "no" })
 }
 
 /// Logs a decision and counts it; `id` is the id of the request concerned, a dash for none.
-pub fn decision(context: &Context, decision: &Note, id: &str) {
+pub fn decision(context: &Context, decision: &Decision, id: &str) {
     let now = context.now();
     let steering = context.steering();
     let name = |backend: &BackendId| steering.backends.get(backend).map_or("gone", |known| known.name.as_str());
     match decision {
-        Note::Held { waiting, chances, .. } => {
-            let (near, far) = (candidate(&steering, chances[0]), candidate(&steering, chances[1]));
+        Decision::Held { waiting, candidates, .. } => {
+            let (near, far) = (candidate(&steering, candidates[0]), candidate(&steering, candidates[1]));
             log::info!(request = id, waiting, near, far; "dispatch: held");
         }
-        Note::Refused { kind, tries, waited, waiting, chances, .. } => {
-            let (near, far) = (candidate(&steering, chances[0]), candidate(&steering, chances[1]));
+        Decision::Refused { kind, attempts, waited, waiting, candidates, .. } => {
+            let (near, far) = (candidate(&steering, candidates[0]), candidate(&steering, candidates[1]));
             log::info!(
-                request = id, kind:% = kind.as_str(), tries, waited_ms:% = waited.as_millis(), waiting, near, far;
+                request = id, kind:% = kind.as_str(), tries = attempts, waited_ms:% = waited.as_millis(), waiting, near, far;
                 "dispatch: refused"
             );
         }
-        Note::Ejected { backend, until, in_flight } => {
+        Decision::Ejected { backend, until, in_flight } => {
             context.metrics.ejections.inc();
             log::info!(
                 server = name(backend), for_ms:% = until.since(now).as_millis(), own = in_flight;
                 "dispatch: server ejected"
             );
         }
-        Note::Trusted { backend } => log::info!(server = name(backend); "dispatch: server trusted again"),
-        Note::Leaving { backend } => {
+        Decision::Reinstated { backend } => log::info!(server = name(backend); "dispatch: server trusted again"),
+        Decision::Leaving { backend } => {
             context.metrics.servers_leaving.inc();
             log::info!(server = name(backend); "dispatch: server announced that it leaves");
         }
-        Note::Paused { backend, until } => {
+        Decision::Paused { backend, until } => {
             context.metrics.servers_paused.inc();
             log::info!(server = name(backend), for_ms:% = until.since(now).as_millis(); "dispatch: server paused");
         }
-        Note::Poisonous { fingerprint } => {
+        Decision::Quarantined { fingerprint } => {
             log::warn!(fingerprint:% = format_args!("{fingerprint:016x}"); "dispatch: requests poisonous");
         }
     }
 }
 
 /// Formats a server that was considered as `name/load/pace/ms to the answer`; a dash for none.
-fn candidate(steering: &Steering, considered: Option<Chance>) -> String {
-    let Some(Chance { backend, load, pace, finish }) = considered else {
+fn candidate(steering: &Steering, considered: Option<Candidate>) -> String {
+    let Some(Candidate { backend, load, pace, expected_latency }) = considered else {
         return "-".to_owned();
     };
     let name = steering.backends.get(&backend).map_or("gone", |known| known.name.as_str());
-    format!("{name}/{load:.1}/{pace:.1}/{}", finish.as_millis())
+    format!("{name}/{load:.1}/{pace:.1}/{}", expected_latency.as_millis())
 }
 
 /// Logs the changes between two states: backend servers that were added, removed or changed, and entry instances whose
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -9,7 +9,7 @@
 use base::time::Time;
 use bytes::Bytes;
 use dispatch::backend::{BackendId, Report};
-use dispatch::engine::{Arrival, Note, Why};
+use dispatch::engine::{Arrival, Basis, Decision};
 use dispatch::{Action, Ending, Engine, Verdict};
 use http::{HeaderMap, Method};
 use tokio::sync::{Notify, oneshot};
@@ -146,7 +146,7 @@
         let (reply, outcome) = oneshot::channel();
         let Submission { class, fingerprint, limit, object } = submission;
         let bytes = outgoing.body.len() as u64;
-        let arrival = Arrival { request: outgoing.number, class, fingerprint, bytes, limit, object };
+        let arrival = Arrival { request: outgoing.number, class, fingerprint, bytes, timeout: limit, object };
         stall::check(context);
         let now = context.now();
         lock(&self.pending).insert(outgoing.number, Pending { outgoing, reply, arrived_at: now });
@@ -181,8 +181,8 @@
     pub fn with_engine_mut<T>(&self, context: &Arc<Context>, work: impl FnOnce(&mut Engine) -> T) -> T {
         let mut engine = lock(&self.engine);
         let result = work(&mut engine);
-        let decisions = engine.take_notes();
-        let actions = engine.take();
+        let decisions = engine.take_decisions();
+        let actions = engine.take_actions();
         let losses = engine.take_losses();
         context.metrics.queued.set(engine.queued() as i64);
         context.metrics.in_flight.set(engine.in_flight() as i64);
@@ -206,9 +206,9 @@
 
     fn perform(&self, context: &Arc<Context>, action: Action) {
         match action {
-            Action::Start { request, attempt, backend, deadline, again, why } => {
-                let sending = attempt::Sending { attempt, backend, deadline, again };
-                self.record_start(context, request, sending, why);
+            Action::Start { request, attempt, backend, deadline, retry, basis } => {
+                let sending = attempt::Sending { attempt, backend, deadline, again: retry };
+                self.record_start(context, request, sending, basis);
                 self.start(context, request, sending);
             }
             Action::Cancel { attempt, backend } => {
@@ -226,33 +226,33 @@
                     self.finish(context, attempt, Ending::Cancelled, None);
                 }
             }
-            Action::Answer { request, verdict, after } => self.answer(request, verdict, after),
+            Action::Answer { request, verdict, retry_after: after } => self.answer(request, verdict, after),
         }
     }
 
     /// Records in logs and metrics where a request is sent and on what basis.
-    fn record_start(&self, context: &Context, request: u64, sending: attempt::Sending, why: Why) {
+    fn record_start(&self, context: &Context, request: u64, sending: attempt::Sending, basis: Basis) {
         let pending =
             lock(&self.pending).get(&request).map(|pending| (Arc::clone(&pending.outgoing), pending.arrived_at));
         let Some((outgoing, arrived_at)) = pending else { return };
         let waited = context.now().since(arrived_at);
         let again = if sending.again { "yes" } else { "no" };
-        context.metrics.sends.with_label_values(&[again, decision_log::warm_label(why)]).inc();
+        context.metrics.sends.with_label_values(&[again, decision_log::warm_label(basis)]).inc();
         if !sending.again {
             context.metrics.wait_time.observe(waited.as_secs_f64());
         }
-        decision_log::attempt_sent(context, &outgoing, sending, waited, why);
+        decision_log::attempt_sent(context, &outgoing, sending, waited, basis);
     }
 
     /// Logs a decision; called before the request concerned is answered.
-    fn log_decision(&self, context: &Context, decision: &Note) {
+    fn log_decision(&self, context: &Context, decision: &Decision) {
         let request = match decision {
-            Note::Held { request, .. } | Note::Refused { request, .. } => Some(*request),
-            Note::Ejected { .. }
-            | Note::Trusted { .. }
-            | Note::Leaving { .. }
-            | Note::Paused { .. }
-            | Note::Poisonous { .. } => None,
+            Decision::Held { request, .. } | Decision::Refused { request, .. } => Some(*request),
+            Decision::Ejected { .. }
+            | Decision::Reinstated { .. }
+            | Decision::Leaving { .. }
+            | Decision::Paused { .. }
+            | Decision::Quarantined { .. } => None,
         };
         let pending = lock(&self.pending);
         let outgoing = request.and_then(|request| pending.get(&request)).map(|pending| Arc::clone(&pending.outgoing));
@@ -275,7 +275,7 @@
 
     /// Records a load report that came with an answer; the engine acts on it once the attempt's end is reported.
     pub fn record_report(&self, backend: BackendId, report: Report) {
-        lock(&self.engine).note_report(backend, report);
+        lock(&self.engine).record_report(backend, report);
     }
 
     /// Sends the outcome of `request` to its caller; `after` is when the caller should retry.
@@ -296,13 +296,13 @@
 /// Runs the engine's timers.
 struct Timer(tokio::task::JoinHandle<()>);
 
-impl kernel::Part for Timer {
+impl kernel::Component for Timer {
     fn close(&mut self) {
         self.0.abort();
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move { run(&shared).await });
     Ok(Box::new(Timer(task)))
@@ -311,7 +311,7 @@
 async fn run(context: &Arc<Context>) {
     let driver = &context.driver;
     loop {
-        let wakeup = driver.with_engine(Engine::wake);
+        let wakeup = driver.with_engine(Engine::next_wakeup);
         let sleep = wakeup.map_or(MAX_SLEEP, |wakeup| context.clock.duration_until(wakeup).min(MAX_SLEEP));
         tokio::select! {
             () = tokio::time::sleep(sleep) => {}
@@ -319,7 +319,7 @@
         }
         stall::check(context);
         let now = context.now();
-        if driver.with_engine(Engine::wake).is_some_and(|wakeup| wakeup <= now) {
+        if driver.with_engine(Engine::next_wakeup).is_some_and(|wakeup| wakeup <= now) {
             driver.with_engine_mut(context, |engine| engine.tick(now));
         }
     }
--- a/crates/daemon/src/grants.rs
+++ b/crates/daemon/src/grants.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use steer::grant::{Keeper, LEASE, Plan, SLOTS};
+use steer::grant::{LEASE_TTL, Manager, Plan, SLOTS};
 use store::{Change, Commit, Entry, Lease, Store as _, key};
 
 use crate::Context;
@@ -25,12 +25,12 @@
     lease: Arc<std::sync::Mutex<Option<Lease>>>,
 }
 
-impl kernel::Part for Grants {
+impl kernel::Component for Grants {
     /// Releases the slots, so that other daemons need not wait for the lease to expire.
     fn close(&mut self) {
         self.thread.stop();
         let held: Vec<u32> = lock(&self.context.grant_manager).held().collect();
-        lock(&self.context.grant_manager).lost();
+        lock(&self.context.grant_manager).record_lease_lost();
         let lease = lock(&self.lease).take();
         if let Some(lease) = lease {
             release_all(&self.context, lease, &held);
@@ -38,7 +38,7 @@
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     if context.catalog.is_some() {
         return Ok(Box::new(kernel::Idle));
     }
@@ -62,20 +62,20 @@
     let plan = lock(&context.grant_manager).plan(live, now);
     let lease = *lock(current_lease);
     match (plan, lease) {
-        (Plan::Rest, _) => {}
-        (Plan::Lease, _) | (_, None) => {
-            if let Ok(lease) = context.store.grant(LEASE) {
+        (Plan::Wait, _) => {}
+        (Plan::CreateLease, _) | (_, None) => {
+            if let Ok(lease) = context.store.grant(LEASE_TTL) {
                 *lock(current_lease) = Some(lease);
-                lock(&context.grant_manager).leased(now);
+                lock(&context.grant_manager).record_lease(now);
             }
         }
-        (Plan::Renew, Some(lease)) => match context.store.renew(lease) {
-            Ok(true) => lock(&context.grant_manager).leased(now),
-            Ok(false) => lock(&context.grant_manager).lost(),
+        (Plan::RenewLease, Some(lease)) => match context.store.renew(lease) {
+            Ok(true) => lock(&context.grant_manager).record_lease(now),
+            Ok(false) => lock(&context.grant_manager).record_lease_lost(),
             Err(error) => log::debug!("grants: renewal failed reason={:?}", error.to_string()),
         },
-        (Plan::Take(count), Some(lease)) => acquire(context, lease, count),
-        (Plan::Drop(slots), Some(_)) => release(context, &slots),
+        (Plan::Acquire(count), Some(lease)) => acquire(context, lease, count),
+        (Plan::Release(slots), Some(_)) => release(context, &slots),
     }
     context.metrics.grant_slots.set(lock(&context.grant_manager).held().count() as i64);
 }
@@ -86,7 +86,7 @@
     let region = active.policy.regions.get(&context.settings.region);
     let domains = region.map(|region| region.domains.as_slice()).unwrap_or_default();
     let roster = lock(&context.roster);
-    domains.iter().map(|domain| roster.alive_in(domain).count()).sum::<usize>().max(1)
+    domains.iter().map(|domain| roster.live_members_in(domain).count()).sum::<usize>().max(1)
 }
 
 /// Returns the value that marks a slot as held by this daemon. It names the lease, so that slots under an earlier lease of
@@ -120,14 +120,14 @@
     let changes: Vec<Change> = wanted.iter().map(set).collect();
     if changes.is_empty() {
         let now = context.now();
-        return lock(&context.grant_manager).retry(now);
+        return lock(&context.grant_manager).retry_soon(now);
     }
     let commit = context.store.commit(&changes);
     let now = context.now();
     let mut manager = lock(&context.grant_manager);
     match commit {
-        Ok(Commit::Done(revision)) => wanted.iter().for_each(|(number, _)| manager.took(*number, revision)),
-        Ok(Commit::Conflict) => manager.retry(now),
+        Ok(Commit::Done(revision)) => wanted.iter().for_each(|(number, _)| manager.record_acquired(*number, revision)),
+        Ok(Commit::Conflict) => manager.retry_soon(now),
         Err(error) => log::debug!("grants: slots not acquired reason={:?}", error.to_string()),
     }
 }
@@ -136,7 +136,7 @@
 fn release(context: &Context, slots: &[(u32, u64)]) {
     let mut manager = lock(&context.grant_manager);
     for (number, _) in slots {
-        Keeper::dropped(&mut manager, *number);
+        Manager::record_released(&mut manager, *number);
     }
     drop(manager);
     let region = &context.settings.region;
--- a/crates/daemon/src/instance_list.rs
+++ b/crates/daemon/src/instance_list.rs
@@ -33,8 +33,8 @@
 /// Returns a backend server's number, a hash of its name, address and start time, so that its successor has another
 /// number. Where no start time is listed, a successor at the same address has the same number.
 pub fn backend_id(instance: &Instance) -> BackendId {
-    let Instance { name, address, born, .. } = instance;
-    let text = if *born == 0 { format!("{name}\n{address}") } else { format!("{name}\n{address}\n{born}") };
+    let Instance { name, address, started_at, .. } = instance;
+    let text = if *started_at == 0 { format!("{name}\n{address}") } else { format!("{name}\n{address}\n{started_at}") };
     hash::bytes(text.as_bytes()) as BackendId
 }
 
@@ -74,7 +74,7 @@
             let (key, entry) = unchanged.unwrap_or_else(|| {
                 let name = key.strip_prefix(catalog.server_prefix).unwrap_or(key);
                 let server = (catalog.parse_server)(name, &stored.value, settings);
-                let item = server.map(|server| Item::new(server.instance, stored.seen + server.cold_for));
+                let item = server.map(|server| Item::new(server.instance, stored.first_seen + server.cold_for));
                 let result = item.map_err(|reason| format!("{key} at revision {}: {reason}", stored.revision));
                 (key.to_owned(), (stored.revision, result))
             });
--- a/crates/daemon/src/list_poller.rs
+++ b/crates/daemon/src/list_poller.rs
@@ -19,7 +19,7 @@
     Plugin(kernel::Plugin { name: "list", stage: 30, start })
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     if context.catalog.is_some() {
         return Ok(Box::new(kernel::Idle));
     }
@@ -56,6 +56,6 @@
         log::warn!("list: empty list skipped known={}", list.items.len());
         return;
     }
-    lock(&context.roster).list(&instances);
+    lock(&context.roster).set_listed(&instances);
     list.replace(instances.into_iter().map(|instance| Item::new(instance, Time::ZERO)).collect(), now);
 }
--- a/crates/daemon/src/mirror/publish.rs
+++ b/crates/daemon/src/mirror/publish.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fleet::Copy;
+use fleet::Document;
 
 use crate::adapter::{Catalog, PolicyUpdate};
 use crate::context::lock;
@@ -42,7 +42,7 @@
     let PolicyUpdate { revision, policy, passed_over } = revised;
     match policy.to_text() {
         Ok(text) => {
-            if policies::apply(context, Copy::new(revision, text), "store") {
+            if policies::apply(context, Document::new(revision, text), "store") {
                 peers::tell_revision(context);
             }
         }
@@ -61,7 +61,7 @@
     loop {
         tokio::time::sleep(TURN).await;
         let now = context.now();
-        let dropped = lock(&context.mirror).tick(now);
+        let dropped = lock(&context.mirror).remove_expired(now);
         if dropped {
             publish(&context, catalog);
         } else {
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -27,13 +27,13 @@
 /// The listening sockets, one for each address.
 struct Port(Vec<Arc<Server>>);
 
-impl kernel::Part for Port {
+impl kernel::Component for Port {
     fn close(&mut self) {
         self.0.iter().for_each(|server| server.unblock());
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let settings = &context.settings.operators;
     let addresses =
         [("operators.address", &settings.address), ("operators.metrics_address", &settings.metrics_address)];
@@ -173,7 +173,7 @@
     let active = context.policy();
     let steering = context.steering();
     let roster = lock(&context.roster);
-    let silence: BTreeMap<&str, Option<Duration>> = roster.words(now).collect();
+    let silence: BTreeMap<&str, Option<Duration>> = roster.silence(now).collect();
     let members = roster.records().into_iter().map(|record| Member {
         silent_s: silence.get(record.name.as_str()).copied().flatten().map(|age| age.as_secs_f64()),
         name: record.name,
@@ -185,7 +185,7 @@
     drop(silence);
     drop(roster);
     let regions = active.regions.len() as u16;
-    let row = |from: u16| (0..regions).map(|to| steering.shares.part(from, to)).collect();
+    let row = |from: u16| (0..regions).map(|to| steering.shares.share(from, to)).collect();
     let name = |id: u32| steering.backends.get(&id).map_or_else(|| id.to_string(), |known| known.name.clone());
     let backends = context.driver.with_engine(|engine| {
         let backend = |server: &dispatch::backend::Backend| Backend {
@@ -193,10 +193,10 @@
             in_flight: server.in_flight,
             limit: server.limit(),
             load: server.load(now),
-            ratio: server.ratio(),
+            ratio: server.latency_ratio(),
             leaving: server.leaving(),
             suspect: server.suspect(),
-            closed: server.closed(now),
+            closed: server.unavailable(now),
             hosts_waiting_work: server.spec.hosts,
         };
         engine.backends().map(backend).collect()
@@ -214,9 +214,9 @@
         shares: (0..regions).map(row).collect(),
         grant_share: lock(&context.grant_manager).share(now),
         backends,
-        open: context.driver.with_engine(dispatch::Engine::open),
+        open: context.driver.with_engine(dispatch::Engine::open_requests),
         queued: context.driver.with_engine(dispatch::Engine::queued),
-        poisonous: context.driver.with_engine(|engine| engine.poisonous(now)),
+        poisonous: context.driver.with_engine(|engine| engine.quarantined(now)),
         drains: active.policy.drains.clone(),
         passed_over: passed_over(context),
     }
@@ -248,7 +248,7 @@
     let roster = lock(&context.roster);
     for seconds in SILENCE_THRESHOLDS_S {
         let limit = Duration::from_secs(seconds);
-        let silent = roster.words(now).filter(|(_, age)| age.is_none_or(|age| age > limit)).count();
+        let silent = roster.silence(now).filter(|(_, age)| age.is_none_or(|age| age > limit)).count();
         context.metrics.silent_peers.with_label_values(&[&seconds.to_string()]).set(silent as i64);
     }
 }
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -25,7 +25,7 @@
 
 struct Exchange(tokio::task::JoinHandle<()>, Arc<Context>);
 
-impl kernel::Part for Exchange {
+impl kernel::Component for Exchange {
     fn withdraw(&mut self) {
         lock(&self.1.roster).leave();
         super::tell_leaving(&self.1);
@@ -36,7 +36,7 @@
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         join(&shared).await;
@@ -72,8 +72,8 @@
         }
     }
     super::spread_leaving(context, &message.leaving);
-    if lock(&context.policy_replica).wants(message.revision) {
-        let address = message.from.peers.clone();
+    if lock(&context.policy_replica).needs(message.revision) {
+        let address = message.from.peer_address.clone();
         let context = Arc::clone(context);
         let runtime = context.runtime.clone();
         runtime.spawn(async move { fetch(&context, &address).await });
@@ -95,7 +95,7 @@
             context.metrics.exchanges.with_label_values(&["failed"]).inc();
             log::debug!("peers: exchange failed peer={name} reason={:?}", error.to_string());
             let now = context.now();
-            lock(&context.roster).failed(name, now);
+            lock(&context.roster).record_failure(name, now);
         }
     }
 }
@@ -129,7 +129,7 @@
         };
         match client.snapshot().await {
             Ok(snapshot) => {
-                let starting = !snapshot.copy && context.settings.fleet.first_start;
+                let starting = !snapshot.has_mirror && context.settings.fleet.first_start;
                 adopt(context, snapshot, seed);
                 if starting && context.catalog.is_some() {
                     meet(context, seed).await;
@@ -148,7 +148,7 @@
 /// Takes in what a peer knows.
 fn adopt(context: &Arc<Context>, snapshot: Snapshot, seed: &str) {
     let now = context.now();
-    lock(&context.roster).adopt(&snapshot, now);
+    lock(&context.roster).merge_snapshot(&snapshot, now);
     for server in &snapshot.leaving {
         leaving::note(context, *server);
     }
@@ -180,7 +180,7 @@
         let target = {
             let mut roster = lock(&context.roster);
             roster.tick(now);
-            roster.target(now)
+            roster.next_target(now)
         };
         if let Some((name, address)) = target {
             with(context, &name, &address, message(context)).await;
--- a/crates/daemon/src/plugin.rs
+++ b/crates/daemon/src/plugin.rs
@@ -50,7 +50,7 @@
     }
 }
 
-impl kernel::Part for PeriodicThread {
+impl kernel::Component for PeriodicThread {
     fn close(&mut self) {
         self.stop();
     }
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -7,8 +7,8 @@
 use base::hash;
 use config::policy::{Class, Policy};
 use dispatch::class;
-use dispatch::split::Part;
-use fleet::Copy;
+use dispatch::split::Share;
+use fleet::Document;
 
 use crate::context::lock;
 use crate::{Context, view};
@@ -81,10 +81,10 @@
             rank: class.rank,
             target: Duration::from_millis(class.target_ms),
             may_wait: class.may_wait,
-            tries: if class.tries == 0 { defaults.tries } else { class.tries as usize },
+            max_attempts: if class.tries == 0 { defaults.max_attempts } else { class.tries as usize },
             affinity: class.affinity,
             regions: class.regions.iter().filter_map(|name| self.region_position(name)).collect(),
-            split: split.map(|(service, weight)| Part { service, weight }).collect(),
+            split: split.map(|(service, weight)| Share { service, weight }).collect(),
             ..defaults
         }
     }
@@ -92,10 +92,10 @@
 
 /// Applies a policy document from the store or a peer; returns whether it is now in force, that is, valid and newer
 /// than the one before. `source` names its origin in the log.
-pub fn apply(context: &Arc<Context>, copy: Copy, source: &str) -> bool {
+pub fn apply(context: &Arc<Context>, copy: Document, source: &str) -> bool {
     let revision = copy.revision;
     let mut replica = lock(&context.policy_replica);
-    match replica.offer(copy) {
+    match replica.apply(copy) {
         Ok(Some(policy)) => {
             activate(context, revision, policy);
             log::info!("policy: in force revision={revision} source={source}");
--- a/crates/daemon/src/policy_poller.rs
+++ b/crates/daemon/src/policy_poller.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fleet::Copy;
+use fleet::Document;
 use store::{Store as _, key};
 
 use crate::Context;
@@ -19,7 +19,7 @@
     Plugin(kernel::Plugin { name: "reader", stage: 30, start })
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     if context.catalog.is_some() {
         return Ok(Box::new(kernel::Idle));
     }
@@ -49,7 +49,7 @@
         Ok(Some(entry)) => {
             context.store_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
             let text = String::from_utf8_lossy(&entry.value).into_owned();
-            if policies::apply(context, Copy::new(entry.revision, text), "store") {
+            if policies::apply(context, Document::new(entry.revision, text), "store") {
                 peers::tell_revision(context);
             }
         }
--- a/crates/daemon/src/stall.rs
+++ b/crates/daemon/src/stall.rs
@@ -24,13 +24,13 @@
 /// The task that checks for stalls.
 struct Watchdog(tokio::task::JoinHandle<()>);
 
-impl kernel::Part for Watchdog {
+impl kernel::Component for Watchdog {
     fn close(&mut self) {
         self.0.abort();
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         loop {
@@ -45,16 +45,16 @@
 /// decided or sent.
 pub fn check(context: &Arc<Context>) {
     let now = context.now();
-    let Some(stalled) = lock(&context.stall_detector).beat(now) else { return };
+    let Some(stalled) = lock(&context.stall_detector).observe(now) else { return };
     log::warn!("stall: process stalled, dispatch suspended until the store has answered ms={}", stalled.as_millis());
     context.metrics.stalls.inc();
-    context.driver.with_engine_mut(context, |engine| engine.doubt(stalled, now + MAX_SUSPENSION));
+    context.driver.with_engine_mut(context, |engine| engine.suspend(stalled, now + MAX_SUSPENSION));
     let shared = Arc::clone(context);
     context.runtime.spawn(async move {
         let confirmed = tokio::time::timeout(MAX_SUSPENSION, confirm(&shared, now)).await.is_ok();
         view::refresh(&shared);
         let now = shared.now();
-        shared.driver.with_engine_mut(&shared, |engine| engine.trust(now));
+        shared.driver.with_engine_mut(&shared, |engine| engine.resume(now));
         log::info!("stall: dispatch resumed confirmed={confirmed}");
     });
 }
--- a/crates/daemon/src/view/servers.rs
+++ b/crates/daemon/src/view/servers.rs
@@ -5,7 +5,7 @@
 
 use base::hash;
 use base::instance::{Instance, Role, State as Listed};
-use dispatch::backend::{BackendId, Place, Spec, Start};
+use dispatch::backend::{BackendId, Place, SlowStart, Spec};
 use dispatch::subset;
 use fleet::roster::Roster;
 
@@ -50,8 +50,8 @@
         let own = hash::bytes(context.settings.instance.as_bytes());
         let domains = in_force.policy.regions.get(&context.settings.region);
         let domains = domains.map(|region| region.domains.as_slice()).unwrap_or_default();
-        let region = hashed(own, domains.iter().flat_map(|domain| roster.alive_in(domain)));
-        let all = hashed(own, roster.alive());
+        let region = hashed(own, domains.iter().flat_map(|domain| roster.live_members_in(domain)));
+        let all = hashed(own, roster.live_members());
         let (starters, settled) = (context.settings.dispatch.starters as usize, settled(context));
         if (&self.region, &self.all, self.settled) != (&region, &all, settled) {
             *self = Self { own, region, all, starters, settled, dealt: BTreeMap::new() };
@@ -74,7 +74,7 @@
             return *known;
         }
         let used = subset::uses(self.own, &self.region, u64::from(id), USERS_PER_BACKEND);
-        let (part, starter) = subset::start_part(self.own, &self.all, u64::from(id), self.starters, self.settled);
+        let (part, starter) = subset::start_share(self.own, &self.all, u64::from(id), self.starters, self.settled);
         let dealt = Dealt { used, part, starter };
         self.dealt.insert(id, dealt);
         dealt
@@ -99,18 +99,18 @@
                 leaving: drained || instance.state == Listed::Leaving,
                 hosts: hosted.get(&u64::from(item.id)).copied().unwrap_or(false),
                 region,
-                start: self.start(item, in_force),
+                slow_start: self.start(item, in_force),
             })
         };
         used.iter().filter_map(spec).collect()
     }
 
-    fn start(&mut self, item: &Item, in_force: &ActivePolicy) -> Option<Start> {
+    fn start(&mut self, item: &Item, in_force: &ActivePolicy) -> Option<SlowStart> {
         let service = in_force.policy.services.get(&item.instance.service)?;
         let Dealt { part, starter, .. } = self.dealt(item.id);
         let per_second = service.start_per_second * part;
-        let phase = hash::unit(hash::pair(self.own, item.id.into()));
-        (service.start_per_second > 0.0).then_some(Start { until: item.cold_until, per_second, starter, phase })
+        let phase = hash::unit_interval(hash::combine(self.own, item.id.into()));
+        (service.start_per_second > 0.0).then_some(SlowStart { until: item.cold_until, per_second, starter, phase })
     }
 }
 
--- a/crates/dispatch/src/engine/ending.rs
+++ b/crates/dispatch/src/engine/ending.rs
@@ -67,7 +67,7 @@
             Ending::Unreachable => backend.failed(now),
             Ending::Lost | Ending::Cut => backend.lost(now),
             Ending::Timeout if !ended.late && latency >= enough => {
-                backend.note_late_ended(may_eject, ended.warm.is_some(), now);
+                backend.record_late_end(may_eject, ended.warm.is_some(), now);
             }
             Ending::Timeout | Ending::TooLarge | Ending::Withheld(_) | Ending::Recalled | Ending::Cancelled => {}
         }
@@ -91,7 +91,7 @@
         match ending {
             Ending::Answered(_) => {
                 let fingerprint = state.fingerprint;
-                self.poison.clear(fingerprint, now);
+                self.quarantine.clear(fingerprint, now);
                 let rest = self.close(request).map(|state| state.live).unwrap_or_default();
                 self.cancel_all(&rest);
                 self.answer(request, Verdict::Relay(attempt));
@@ -123,8 +123,8 @@
         }
         let idempotent = self.classes[state.class].spec.idempotent;
         let safe = idempotent || state.touched.is_none();
-        let tries_left = state.tries < self.classes[state.class].spec.tries;
-        let poisoned = self.poison.refuses(state.fingerprint, now);
+        let tries_left = state.tries < self.classes[state.class].spec.max_attempts;
+        let poisoned = self.quarantine.refuses(state.fingerprint, now);
         let late = now >= state.deadline;
         let service = state.service;
         if !safe || !tries_left || poisoned || late || !(self.retries.spend() && self.repeats(service).spend()) {
@@ -156,7 +156,7 @@
         let Some(state) = self.requests.get(&ended.request) else {
             return;
         };
-        let loss = base::hash::pair(self.salt, attempt);
+        let loss = base::hash::combine(self.salt, attempt);
         let fingerprint = state.fingerprint;
         if self.note_poison(fingerprint, loss, now) {
             self.losses.push((fingerprint, loss));
--- a/crates/steer/src/answer.rs
+++ b/crates/steer/src/answer.rs
@@ -43,10 +43,10 @@
 /// region, so that a caller whose region dies has somewhere to go.
 pub fn look_up(table: &Table, view: &View, shares: &Shares, address: u32, most: usize) -> Answer {
     let most = most.clamp(1, MAX_ENTRIES);
-    let block = hash::pair(u64::from(address >> BLOCK_BITS), 0);
+    let block = hash::combine(u64::from(address >> BLOCK_BITS), 0);
     let mut answer = Answer { positions: [0; MAX_ENTRIES], length: 0, region: None };
     let home = table.home(address).unwrap_or_else(|| nearest(block, view));
-    let region = first_with(view, shares.region(home, hash::unit(block)), block);
+    let region = first_with(view, shares.region(home, hash::unit_interval(block)), block);
     answer.region = region;
     let Some(region) = region else { return answer };
     let local = if most > 1 { most - 1 } else { most };
@@ -66,7 +66,7 @@
     let start = (block % u64::from(regions.max(1))) as RegionId;
     for step in 0..regions {
         let region = (start + step) % regions;
-        if region == used || !shares.open(region) {
+        if region == used || !shares.accepts_callers(region) {
             continue;
         }
         if let Some(position) = view.ranked(region, block).next() {
@@ -85,11 +85,11 @@
 
 /// `wanted`, or the next region that has an entry instance.
 fn first_with(view: &View, wanted: RegionId, block: u64) -> Option<RegionId> {
-    if view.has(wanted) {
+    if view.has_entries(wanted) {
         return Some(wanted);
     }
     let regions = view.regions() as RegionId;
     let start = (block >> 32) as RegionId;
     let others = (0..regions).map(|step| start.wrapping_add(step) % regions.max(1));
-    others.into_iter().find(|region| view.has(*region))
+    others.into_iter().find(|region| view.has_entries(*region))
 }
