--- a/crates/daemon/src/at_most_once.rs
+++ b/crates/daemon/src/at_most_once.rs
@@ -64,12 +64,12 @@
         return Ok(());
     }
     lock(&context.ledger).record_claim_sent(request.key);
-    let held = acquire(context, request, deadline);
-    if let acquire::Outcome::Acquired(revision) = &held {
+    let acquired = acquire_claim(context, request, deadline);
+    if let acquire::Outcome::Acquired(revision) = &acquired {
         *lock(&request.claim_revision) = Some(*revision);
     }
     let now = context.now();
-    match lock(&context.ledger).finish_claim(request.key, held, now) {
+    match lock(&context.ledger).finish_claim(request.key, acquired, now) {
         Admission::Run => Ok(()),
         Admission::Refuse(kind) => Err(kind),
         Admission::Replay(response) => {
@@ -102,7 +102,7 @@
     outcome
 }
 
-/// Returns what this daemon knows of a key that it claimed, for a peer. A key that never ran here never will from then
+/// Returns the status of a key that this daemon claimed, for a peer. A key that never ran here never will from then
 /// on, as the peer takes it over.
 pub fn claim_status(context: &Context, key: u128) -> Status<Arc<Response>> {
     let now = context.now();
@@ -110,18 +110,18 @@
 }
 
 /// Writes the claim to the store; if another daemon holds it, asks that daemon whether the request ran.
-fn acquire(context: &Arc<Context>, request: &KeyedRequest, deadline: Time) -> acquire::Outcome<Arc<Response>> {
+fn acquire_claim(context: &Arc<Context>, request: &KeyedRequest, deadline: Time) -> acquire::Outcome<Arc<Response>> {
     let give_up = deadline - Duration::from_millis(CLAIM_MARGIN_MS);
     let unsent = lock(&context.ledger).is_unsent(request.key);
-    let maker = Acquisition::new(context.incarnation, request.fingerprint, unsent, give_up);
-    let mut progress = maker.start();
+    let acquisition = Acquisition::new(context.incarnation, request.fingerprint, unsent, give_up);
+    let mut action = acquisition.start();
     loop {
-        match progress {
+        match action {
             Action::Call(call) => {
                 let reply = perform(context, request, call);
-                progress = maker.handle(reply, context.now());
+                action = acquisition.handle(reply, context.now());
             }
-            Action::Finish(held) => return held,
+            Action::Finish(outcome) => return outcome,
         }
     }
 }
@@ -132,8 +132,8 @@
         Call::Write(expect) => write_claim(context, request, &name, expect),
         Call::Read => read_claim(context, &name),
         Call::Ask(claim, revision) => {
-            let word = peers::client::word(context, &claim.peer_address, claim.incarnation, request.key);
-            return Reply::Status(word, revision);
+            let status = peers::client::word(context, &claim.peer_address, claim.incarnation, request.key);
+            return Reply::Status(status, revision);
         }
     };
     let failed = matches!(reply, Reply::Unsent | Reply::Lost);
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -226,7 +226,7 @@
                     self.finish(context, attempt, Ending::Cancelled, None);
                 }
             }
-            Action::Answer { request, verdict, retry_after: after } => self.answer(request, verdict, after),
+            Action::Answer { request, verdict, retry_after } => self.answer(request, verdict, retry_after),
         }
     }
 
@@ -278,13 +278,13 @@
         lock(&self.engine).record_report(backend, report);
     }
 
-    /// Sends the outcome of `request` to its caller; `after` is when the caller should retry.
-    fn answer(&self, request: u64, verdict: Verdict, after: Option<Duration>) {
+    /// Sends the outcome of `request` to its caller.
+    fn answer(&self, request: u64, verdict: Verdict, retry_after: Option<Duration>) {
         let Some(pending) = lock(&self.pending).remove(&request) else {
             return;
         };
         let outcome = match verdict {
-            Verdict::Refuse(kind) => Err(Refusal { kind, retry_after: after }),
+            Verdict::Refuse(kind) => Err(Refusal { kind, retry_after }),
             Verdict::Relay(attempt) => lock(&self.answers).get(&attempt).cloned().ok_or(Refusal::from(Kind::Internal)),
         };
         if pending.reply.send(outcome).is_err() {
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -92,10 +92,10 @@
 
 /// Applies a policy document from the store or a peer; returns whether it is now in force, that is, valid and newer
 /// than the one before. `source` names its origin in the log.
-pub fn apply(context: &Arc<Context>, copy: Document, source: &str) -> bool {
-    let revision = copy.revision;
+pub fn apply(context: &Arc<Context>, document: Document, source: &str) -> bool {
+    let revision = document.revision;
     let mut replica = lock(&context.policy_replica);
-    match replica.apply(copy) {
+    match replica.apply(document) {
         Ok(Some(policy)) => {
             activate(context, revision, policy);
             log::info!("policy: in force revision={revision} source={source}");
