--- a/crates/dispatch/src/announcements.rs
+++ b/crates/dispatch/src/announcements.rs
@@ -11,33 +11,33 @@
 use crate::backend::BackendId;
 
 /// Longest pause that a server is believed to want.
-const LONGEST_PAUSE: Duration = Duration::from_mins(10);
+const MAX_PAUSE: Duration = Duration::from_mins(10);
 /// Servers remembered at most; those whose words end first go first.
-const MOST: usize = 4_096;
+const MAX_ENTRIES: usize = 4_096;
 
 /// What one server said last.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Announcement {
     /// Until when it counts as leaving; zero if it did not say so.
-    leaves: Time,
+    leaving_until: Time,
     /// Until when it wants nothing.
-    paused: Time,
+    paused_until: Time,
 }
 
 impl Announcement {
     /// Whether it leaves.
-    pub fn leaves(&self, now: Time) -> bool {
-        now < self.leaves
+    pub fn is_leaving(&self, now: Time) -> bool {
+        now < self.leaving_until
     }
 
     /// Until when it wants nothing; in the past if it takes work.
-    pub const fn paused(&self) -> Time {
-        self.paused
+    pub const fn paused_until(&self) -> Time {
+        self.paused_until
     }
 
     /// When nothing of it counts any more.
-    fn end(&self) -> Time {
-        self.leaves.max(self.paused)
+    fn expires_at(&self) -> Time {
+        self.leaving_until.max(self.paused_until)
     }
 }
 
@@ -57,29 +57,30 @@
     }
 
     /// `server` leaves and counts as leaving until `until`; says whether that is news.
-    pub fn leave(&mut self, server: BackendId, until: Time, now: Time) -> bool {
-        let word = self.entry(server, now);
-        let news = !word.leaves(now);
-        word.leaves = word.leaves.max(until);
-        news
+    pub fn record_leaving(&mut self, server: BackendId, until: Time, now: Time) -> bool {
+        let announcement = self.entry(server, now);
+        let is_new = !announcement.is_leaving(now);
+        announcement.leaving_until = announcement.leaving_until.max(until);
+        is_new
     }
 
     /// `server` wants nothing for `pause`.
-    pub fn pause(&mut self, server: BackendId, pause: Duration, now: Time) {
-        let word = self.entry(server, now);
-        word.paused = word.paused.max(now + pause.min(LONGEST_PAUSE));
+    pub fn record_pause(&mut self, server: BackendId, pause: Duration, now: Time) {
+        let announcement = self.entry(server, now);
+        announcement.paused_until = announcement.paused_until.max(now + pause.min(MAX_PAUSE));
     }
 
     /// The servers that leave.
     pub fn leaving(&self, now: Time) -> impl Iterator<Item = BackendId> {
-        self.0.iter().filter(move |(_, word)| word.leaves(now)).map(|(server, _)| *server)
+        self.0.iter().filter(move |(_, announcement)| announcement.is_leaving(now)).map(|(server, _)| *server)
     }
 
     fn entry(&mut self, server: BackendId, now: Time) -> &mut Announcement {
-        if self.0.len() >= MOST && !self.0.contains_key(&server) {
-            self.0.retain(|_, word| now < word.end());
-            let first = self.0.iter().min_by_key(|(_, word)| word.end()).map(|(server, _)| *server);
-            first.filter(|_| self.0.len() >= MOST).map(|first| self.0.remove(&first));
+        if self.0.len() >= MAX_ENTRIES && !self.0.contains_key(&server) {
+            self.0.retain(|_, announcement| now < announcement.expires_at());
+            let first =
+                self.0.iter().min_by_key(|(_, announcement)| announcement.expires_at()).map(|(server, _)| *server);
+            first.filter(|_| self.0.len() >= MAX_ENTRIES).map(|first| self.0.remove(&first));
         }
         self.0.entry(server).or_default()
     }
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -12,33 +12,33 @@
 pub use self::spec::{BackendId, Place, Report, SlowStart, Spec};
 
 /// Late answers in a row after which a server is ejected.
-const LATE_IN_ROW: u32 = 2;
+const LATE_EJECTION_THRESHOLD: u32 = 2;
 /// The same where attempts are about objects, and no answer at all came meanwhile: such work is often late because
 /// it waits or because its object is new there, and moving the objects of a server that answers makes more of it.
-const SILENT_IN_ROW: u32 = 6;
+const KEYED_LATE_EJECTION_THRESHOLD: u32 = 6;
 /// Answers lost in a row after which a server is ejected: one alone may be the network's doing, and a server that
 /// is gone loses all or cannot be reached.
-const LOST_IN_ROW: u32 = 2;
+const LOST_EJECTION_THRESHOLD: u32 = 2;
 /// First time of an ejection; it doubles with each one in a row.
-const EJECTION: Duration = Duration::from_secs(1);
+const BASE_EJECTION: Duration = Duration::from_secs(1);
 /// Longest time of an ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(30);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 /// Time without work after a shed request.
 const SHED_PAUSE: Duration = Duration::from_millis(50);
 /// Age up to which a report came with the answer that is judged.
-const FRESH: Duration = Duration::from_millis(50);
+const FRESH_REPORT_AGE: Duration = Duration::from_millis(50);
 /// Age at which a report of others' work counts for nothing.
-const REPORT_LIFE: Duration = Duration::from_secs(10);
+const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 /// Part of a new report in the running average.
-const REPORT_PART: f64 = 0.3;
+const REPORT_EWMA_WEIGHT: f64 = 0.3;
 /// Time over which our own attempts in flight are averaged.
-const OWN_WINDOW: Duration = Duration::from_secs(3);
+const IN_FLIGHT_WINDOW: Duration = Duration::from_secs(3);
 /// Answers for each further slot a starting server gets.
 const ANSWERS_PER_SLOT: u32 = 2;
 /// Part of a new latency in the running average.
-const NEW_PART: f64 = 0.3;
+const LATENCY_EWMA_WEIGHT: f64 = 0.3;
 /// Largest ratio a single latency counts for, so that one straggler does not condemn a server.
-const MOST_RATIO: f64 = 8.0;
+const MAX_LATENCY_RATIO: f64 = 8.0;
 /// Requests that one daemon sends at once to a server that starts cold.
 const COLD_BURST: f64 = 1.0;
 /// Time for which a server's word on its pace holds by half: neighbours come and go.
@@ -47,12 +47,12 @@
 const OTHERS_HALF_LIFE: Duration = Duration::from_millis(300);
 /// Time without a word from a server after which what it usually has from others counts less and less: a server
 /// that is sent nothing because it was busy could never tell that it is free.
-const WORD_LIFE: Duration = Duration::from_millis(500);
+const REPORT_SILENCE: Duration = Duration::from_millis(500);
 /// Part of a new word on the work of other daemons in its average.
-const OTHERS_PART: f64 = 0.2;
+const OTHERS_EWMA_WEIGHT: f64 = 0.2;
 
 /// Requests a second and at once that this daemon may send the server while it starts.
-fn pressure(spec: &Spec) -> (f64, f64) {
+fn slow_start_rate(spec: &Spec) -> (f64, f64) {
     let per_second = spec.slow_start.map_or(0.0, |start| start.per_second);
     (per_second, if per_second > 0.0 { COLD_BURST } else { 0.0 })
 }
@@ -71,34 +71,34 @@
     pub late: u32,
     report: Option<Report>,
     /// Running average of the reported load, in requests.
-    reported: f64,
+    average_load: f64,
     /// Running average of our own attempts in flight, in requests.
-    own: f64,
-    own_noted: Time,
-    ratio: f64,
+    average_in_flight: f64,
+    average_updated_at: Time,
+    latency_ratio: f64,
     late_in_row: u32,
     lost_in_row: u32,
     ejections: u32,
     /// No work before this time.
-    closed_until: Time,
+    unavailable_until: Time,
     /// Whether the server must prove itself with one request.
-    trial: bool,
+    on_probation: bool,
     /// Whether it was ejected last because its answers were late; it could be reached.
-    slow: bool,
+    ejected_as_slow: bool,
     /// What the server said of itself.
-    word: Announcement,
+    announcement: Announcement,
     /// Whether it said that it leaves.
-    left: bool,
+    announced_leaving: bool,
     /// Whether it takes work again after a pause, little by little.
     resuming: bool,
-    answered: u32,
+    answers: u32,
     /// Paces the requests to a server that starts.
-    gate: Bucket,
+    slow_start_bucket: Bucket,
     pace: f64,
-    pace_noted: Time,
+    pace_reported_at: Time,
     /// Work of other daemons as the last answer told it, and on average.
-    told_others: Option<(f64, Time)>,
-    usual_others: f64,
+    reported_others: Option<(f64, Time)>,
+    average_others: f64,
     /// What its others' work is taken to be before an answer told it: that of the servers like it.
     assumed_others: f64,
 }
@@ -106,40 +106,40 @@
 impl Backend {
     /// A server that nothing is known of; it starts slowly.
     pub fn new(spec: Spec, now: Time) -> Self {
-        let (per_second, burst) = pressure(&spec);
+        let (per_second, burst) = slow_start_rate(&spec);
         Self {
             spec,
-            gate: Bucket::new(per_second, burst, now),
+            slow_start_bucket: Bucket::new(per_second, burst, now),
             pace: 1.0,
-            pace_noted: Time::ZERO,
-            told_others: None,
-            usual_others: 0.0,
+            pace_reported_at: Time::ZERO,
+            reported_others: None,
+            average_others: 0.0,
             assumed_others: 0.0,
             in_flight: 0,
             waiting_in_flight: 0,
             late: 0,
             report: None,
-            reported: 0.0,
-            own: 0.0,
-            own_noted: Time::ZERO,
-            ratio: 1.0,
+            average_load: 0.0,
+            average_in_flight: 0.0,
+            average_updated_at: Time::ZERO,
+            latency_ratio: 1.0,
             late_in_row: 0,
             lost_in_row: 0,
             ejections: 0,
-            closed_until: Time::ZERO,
-            trial: false,
-            slow: false,
-            word: Announcement::default(),
-            left: false,
+            unavailable_until: Time::ZERO,
+            on_probation: false,
+            ejected_as_slow: false,
+            announcement: Announcement::default(),
+            announced_leaving: false,
             resuming: false,
-            answered: 0,
+            answers: 0,
         }
     }
 
     /// Takes what is declared of it now; what was seen of it stays.
-    pub fn declare(&mut self, spec: Spec, now: Time) {
-        let (per_second, burst) = pressure(&spec);
-        self.gate.set_rate(per_second, burst, now);
+    pub fn update_spec(&mut self, spec: Spec, now: Time) {
+        let (per_second, burst) = slow_start_rate(&spec);
+        self.slow_start_bucket.set_rate(per_second, burst, now);
         self.spec = spec;
     }
 
@@ -149,28 +149,28 @@
             return;
         }
         if let Some(pace) = report.pace {
-            self.tell(report, pace);
+            self.apply_answer_report(report, pace);
             return;
         }
         let load = f64::from(report.load);
-        let part = if self.report.is_some() { REPORT_PART } else { 1.0 };
-        self.reported += part * (load - self.reported);
+        let weight = if self.report.is_some() { REPORT_EWMA_WEIGHT } else { 1.0 };
+        self.average_load += weight * (load - self.average_load);
         self.report = Some(report);
     }
 
     /// Takes in a report that came with the answer to one of our attempts, which it counts.
-    fn tell(&mut self, report: Report, pace: f64) {
+    fn apply_answer_report(&mut self, report: Report, pace: f64) {
         let others = (f64::from(report.load) - f64::from(self.in_flight)).max(0.0);
-        self.usual_others += OTHERS_PART * (others - self.usual_others);
-        self.told_others = Some((others, report.at));
+        self.average_others += OTHERS_EWMA_WEIGHT * (others - self.average_others);
+        self.reported_others = Some((others, report.at));
         self.pace = pace;
-        self.pace_noted = report.at;
+        self.pace_reported_at = report.at;
         self.report = Some(report);
     }
 
     /// The work of other daemons there on average, if its answers told it.
-    pub fn usual_others(&self) -> Option<f64> {
-        self.told_others.map(|_| self.usual_others)
+    pub fn average_others(&self) -> Option<f64> {
+        self.reported_others.map(|_| self.average_others)
     }
 
     /// Takes the work of other daemons there to be `others` as long as no answer has told it.
@@ -179,64 +179,64 @@
     }
 
     /// When it last told its load.
-    pub fn told(&self) -> Option<Time> {
+    pub fn reported_at(&self) -> Option<Time> {
         self.report.map(|report| report.at)
     }
 
     /// How long work takes there, as a multiple of the usual, as far as its last word still tells.
     pub fn pace(&self, now: Time) -> f64 {
-        let halves = now.since(self.pace_noted).as_secs_f64() / PACE_HALF_LIFE.as_secs_f64();
-        1.0 + (self.pace - 1.0) * 0.5_f64.powf(halves)
+        let half_lives = now.since(self.pace_reported_at).as_secs_f64() / PACE_HALF_LIFE.as_secs_f64();
+        1.0 + (self.pace - 1.0) * 0.5_f64.powf(half_lives)
     }
 
     /// Whether a server that starts, or may have started anew, can be sent a request now.
     pub fn admits(&self, now: Time) -> bool {
-        let left_to_others = self.spec.slow_start.is_some_and(|start| now < start.until && !start.starter);
-        !left_to_others && (!self.starts(now) || self.gate.clone().level(now) >= 1.0)
+        let starter_elsewhere = self.spec.slow_start.is_some_and(|start| now < start.until && !start.starter);
+        !starter_elsewhere && (!self.in_slow_start(now) || self.slow_start_bucket.clone().level(now) >= 1.0)
     }
 
-    fn starts(&self, now: Time) -> bool {
-        self.spec.slow_start.is_some_and(|start| now < start.until || self.trial)
+    fn in_slow_start(&self, now: Time) -> bool {
+        self.spec.slow_start.is_some_and(|start| now < start.until || self.on_probation)
     }
 
     /// One of our attempts starts there.
-    pub fn start(&mut self, waits: bool, now: Time) {
-        self.note_own(now);
-        if self.starts(now) {
-            self.gate.charge(1.0, now);
+    pub fn record_start(&mut self, may_wait: bool, now: Time) {
+        self.update_average(now);
+        if self.in_slow_start(now) {
+            self.slow_start_bucket.charge(1.0, now);
         }
         self.in_flight += 1;
-        self.waiting_in_flight += u32::from(waits);
+        self.waiting_in_flight += u32::from(may_wait);
     }
 
     /// One of our attempts ended there.
-    pub fn end(&mut self, waits: bool, late: bool, now: Time) {
-        self.note_own(now);
+    pub fn record_end(&mut self, may_wait: bool, late: bool, now: Time) {
+        self.update_average(now);
         self.in_flight -= 1;
-        self.waiting_in_flight -= u32::from(waits);
+        self.waiting_in_flight -= u32::from(may_wait);
         self.late -= u32::from(late);
     }
 
     /// Averages our own attempts over about the time that reports are averaged over.
-    fn note_own(&mut self, now: Time) {
-        let passed = now.since(self.own_noted).as_secs_f64() / OWN_WINDOW.as_secs_f64();
-        self.own += (1.0 - (-passed).exp()) * (f64::from(self.in_flight) - self.own);
-        self.own_noted = now;
+    fn update_average(&mut self, now: Time) {
+        let elapsed = now.since(self.average_updated_at).as_secs_f64() / IN_FLIGHT_WINDOW.as_secs_f64();
+        self.average_in_flight += (1.0 - (-elapsed).exp()) * (f64::from(self.in_flight) - self.average_in_flight);
+        self.average_updated_at = now;
     }
 
     /// Takes in what the server says of itself.
-    pub fn hear(&mut self, word: Announcement, now: Time) {
-        if word.paused() > self.word.paused() && word.paused() > now {
+    pub fn apply_announcement(&mut self, announcement: Announcement, now: Time) {
+        if announcement.paused_until() > self.announcement.paused_until() && announcement.paused_until() > now {
             self.resuming = true;
-            self.answered = 0;
+            self.answers = 0;
         }
-        self.left = word.leaves(now);
-        self.word = word;
+        self.announced_leaving = announcement.is_leaving(now);
+        self.announcement = announcement;
     }
 
     /// Whether it takes no new work for good.
     pub fn leaving(&self) -> bool {
-        self.spec.leaving || self.left || self.report.is_some_and(|report| report.draining)
+        self.spec.leaving || self.announced_leaving || self.report.is_some_and(|report| report.draining)
     }
 
     /// Whether it takes no work at `now` because of what we saw or it said.
@@ -246,46 +246,46 @@
 
     /// Whether it is ejected or shed work a moment before `now`.
     pub fn ejected(&self, now: Time) -> bool {
-        now < self.closed_until
+        now < self.unavailable_until
     }
 
     /// Whether it said that it wants nothing at `now`.
     pub fn paused(&self, now: Time) -> bool {
-        now < self.word.paused()
+        now < self.announcement.paused_until()
     }
 
     /// Until when it wants nothing; in the past if it takes work.
     pub const fn paused_until(&self) -> Time {
-        self.word.paused()
+        self.announcement.paused_until()
     }
 
     /// When it takes work again, as far as known.
-    pub fn back(&self) -> Time {
-        self.closed_until.max(self.word.paused())
+    pub fn available_at(&self) -> Time {
+        self.unavailable_until.max(self.announcement.paused_until())
     }
 
     /// Whether it has as much of ours as it may have so soon after a pause: many that send to it again at once would
     /// fill it at once.
-    pub fn eased(&self) -> bool {
+    pub fn at_resume_limit(&self) -> bool {
         self.resuming && self.in_flight >= self.limit()
     }
 
     /// Until when it takes no work because of what we saw.
-    pub const fn closed_until(&self) -> Time {
-        self.closed_until
+    pub const fn unavailable_until(&self) -> Time {
+        self.unavailable_until
     }
 
     /// Whether it is ejected, or was and must prove itself.
     pub fn suspect(&self) -> bool {
-        self.trial
+        self.on_probation
     }
 
     /// Attempts of ours it may have at once.
     pub fn limit(&self) -> u32 {
-        if self.trial {
+        if self.on_probation {
             return 1;
         }
-        self.spec.slots.min(1 + self.answered / ANSWERS_PER_SLOT)
+        self.spec.slots.min(1 + self.answers / ANSWERS_PER_SLOT)
     }
 
     /// The work of other daemons there, as far as known.
@@ -293,16 +293,16 @@
     /// A report that came with an answer tells of the moment and fades to the average. Any other is old when it
     /// comes, and work is short, so it says nothing of the moment: its average fades with its age.
     pub fn others(&self, now: Time) -> f64 {
-        if let Some((told, at)) = self.told_others {
+        if let Some((reported, at)) = self.reported_others {
             let age = now.since(at);
-            let halves = age.as_secs_f64() / OTHERS_HALF_LIFE.as_secs_f64();
-            let silence = age.saturating_sub(WORD_LIFE).as_secs_f64() / WORD_LIFE.as_secs_f64();
-            let usual = self.usual_others * 0.5_f64.powf(silence);
-            return usual + (told - usual) * 0.5_f64.powf(halves);
+            let half_lives = age.as_secs_f64() / OTHERS_HALF_LIFE.as_secs_f64();
+            let silence = age.saturating_sub(REPORT_SILENCE).as_secs_f64() / REPORT_SILENCE.as_secs_f64();
+            let average = self.average_others * 0.5_f64.powf(silence);
+            return average + (reported - average) * 0.5_f64.powf(half_lives);
         }
         let Some(report) = self.report else { return self.assumed_others };
-        let age = now.since(report.at).as_secs_f64() / REPORT_LIFE.as_secs_f64();
-        (self.reported - self.own).max(0.0) * (1.0 - age).max(0.0)
+        let age = now.since(report.at).as_secs_f64() / REPORT_MAX_AGE.as_secs_f64();
+        (self.average_load - self.average_in_flight).max(0.0) * (1.0 - age).max(0.0)
     }
 
     /// All work there, as far as known.
@@ -311,34 +311,34 @@
     }
 
     /// Whether it told just now that it has a slot free.
-    pub fn tells_room(&self, now: Time) -> bool {
-        let fresh = self.told().is_some_and(|at| now.since(at) < FRESH);
+    pub fn reports_free_slot(&self, now: Time) -> bool {
+        let fresh = self.reported_at().is_some_and(|at| now.since(at) < FRESH_REPORT_AGE);
         fresh && self.load(now) < f64::from(self.spec.slots)
     }
 
     /// How long work takes there, relative to what is typical.
     pub fn latency_ratio(&self) -> f64 {
-        self.ratio.max(1.0) + f64::from(self.late)
+        self.latency_ratio.max(1.0) + f64::from(self.late)
     }
 
     /// An attempt was answered after `ratio` times the typical latency; `late` if it was noted as late before,
     /// `keyed` if it was about an object.
-    pub fn answered(&mut self, ratio: f64, late: bool, keyed: bool, now: Time) {
-        self.answered = self.answered.saturating_add(1);
+    pub fn record_answer(&mut self, ratio: f64, late: bool, keyed: bool, now: Time) {
+        self.answers = self.answers.saturating_add(1);
         self.resuming &= self.limit() < self.spec.slots;
         self.lost_in_row = 0;
         if keyed {
             self.late_in_row = 0;
         }
-        self.ratio += NEW_PART * (ratio.min(MOST_RATIO) - self.ratio);
+        self.latency_ratio += LATENCY_EWMA_WEIGHT * (ratio.min(MAX_LATENCY_RATIO) - self.latency_ratio);
         if late {
             return;
         }
         self.late_in_row = 0;
-        if self.trial && now >= self.closed_until {
-            self.trial = false;
+        if self.on_probation && now >= self.unavailable_until {
+            self.on_probation = false;
             self.ejections = 0;
-            self.ratio = self.ratio.min(ratio.max(1.0));
+            self.latency_ratio = self.latency_ratio.min(ratio.max(1.0));
         }
     }
 
@@ -346,22 +346,22 @@
     pub fn record_late(&mut self, may_eject: bool, keyed: bool, now: Time) {
         self.late += 1;
         self.late_in_row += 1;
-        let most = if keyed { SILENT_IN_ROW } else { LATE_IN_ROW };
-        if may_eject && (self.trial || self.late_in_row >= most) {
+        let threshold = if keyed { KEYED_LATE_EJECTION_THRESHOLD } else { LATE_EJECTION_THRESHOLD };
+        if may_eject && (self.on_probation || self.late_in_row >= threshold) {
             self.eject(now);
-            self.slow = true;
+            self.ejected_as_slow = true;
         }
     }
 
     /// Takes a server that was ejected for late answers back at once; says whether that changed anything.
-    pub fn pardon(&mut self, now: Time) -> bool {
-        let pardoned = self.slow && self.ejected(now);
-        if pardoned {
-            self.trial = false;
+    pub fn reinstate(&mut self, now: Time) -> bool {
+        let reinstated = self.ejected_as_slow && self.ejected(now);
+        if reinstated {
+            self.on_probation = false;
             self.ejections = 0;
-            self.closed_until = now;
+            self.unavailable_until = now;
         }
-        pardoned
+        reinstated
     }
 
     /// An attempt ended by its deadline before it was noted as late.
@@ -371,43 +371,43 @@
     }
 
     /// The answer to an attempt was lost or cut short.
-    pub fn lost(&mut self, now: Time) {
+    pub fn record_loss(&mut self, now: Time) {
         self.lost_in_row += 1;
-        if self.trial || self.lost_in_row >= LOST_IN_ROW {
-            self.failed(now);
+        if self.on_probation || self.lost_in_row >= LOST_EJECTION_THRESHOLD {
+            self.record_failure(now);
         }
     }
 
     /// The server could not be reached, or is taken to be gone.
-    pub fn failed(&mut self, now: Time) {
-        self.answered = 0;
+    pub fn record_failure(&mut self, now: Time) {
+        self.answers = 0;
         self.lost_in_row = 0;
         self.eject(now);
     }
 
     /// The server shed an attempt. One that has a slot free, as it told with that answer, refused this request and not
     /// work; work on objects, if `keyed`, stays with it then.
-    pub fn shed(&mut self, keyed: bool, now: Time) {
-        if keyed && self.tells_room(now) {
+    pub fn record_shed(&mut self, keyed: bool, now: Time) {
+        if keyed && self.reports_free_slot(now) {
             return;
         }
-        self.closed_until = self.closed_until.max(now + SHED_PAUSE);
+        self.unavailable_until = self.unavailable_until.max(now + SHED_PAUSE);
     }
 
     fn eject(&mut self, now: Time) {
-        if self.ejected(now) && self.trial {
+        if self.ejected(now) && self.on_probation {
             return;
         }
-        let time = EJECTION.saturating_mul(1 << self.ejections.min(5)).min(LONGEST_EJECTION);
+        let duration = BASE_EJECTION.saturating_mul(1 << self.ejections.min(5)).min(MAX_EJECTION);
         self.ejections += 1;
-        self.trial = true;
+        self.on_probation = true;
         if let Some(start) = self.spec.slow_start.filter(|start| !start.starter) {
             // All daemons may eject it at once: their tries are spread over the time in which it bears them.
-            let level = self.gate.level(now);
-            self.gate.charge(level + start.phase, now);
+            let level = self.slow_start_bucket.level(now);
+            self.slow_start_bucket.charge(level + start.phase, now);
         }
         self.late_in_row = 0;
-        self.slow = false;
-        self.closed_until = now + time;
+        self.ejected_as_slow = false;
+        self.unavailable_until = now + duration;
     }
 }
--- a/crates/dispatch/src/class.rs
+++ b/crates/dispatch/src/class.rs
@@ -10,19 +10,19 @@
 use crate::work_time::Estimate;
 
 /// Typical latency before anything was seen.
-const FIRST_TYPICAL: Duration = Duration::from_millis(50);
+const INITIAL_LATENCY: Duration = Duration::from_millis(50);
 /// Answer size before anything was seen, in bytes.
-const FIRST_SIZE: f64 = 65_536.0;
+const INITIAL_ANSWER_SIZE: f64 = 65_536.0;
 /// Part by which the largest answer size fades with each answer.
-const SIZE_FADE: f64 = 0.995;
+const ANSWER_SIZE_DECAY: f64 = 0.995;
 /// An attempt that takes this many times the typical latency is late.
-const LATE: u32 = 4;
+const LATE_FACTOR: u32 = 4;
 /// The same for an attempt at a server that must prove itself.
-const LATE_ON_TRIAL: u32 = 2;
+const PROBATION_LATE_FACTOR: u32 = 2;
 /// Work on an object that its server handled lately, before any was seen, as a part of the target.
-const FIRST_WARM: f64 = 0.4;
+const INITIAL_WARM_RATIO: f64 = 0.4;
 /// Servers that one request is sent to at most, hedges included, where nothing else is declared.
-const TRIES: usize = 4;
+const DEFAULT_MAX_ATTEMPTS: usize = 4;
 
 /// What operators declare of a class, as far as dispatch needs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -62,7 +62,7 @@
             target: deadline,
             deadline,
             may_wait: false,
-            max_attempts: TRIES,
+            max_attempts: DEFAULT_MAX_ATTEMPTS,
             affinity: false,
             regions: Vec::new(),
             split: Vec::new(),
@@ -88,9 +88,9 @@
     /// Times of work on objects.
     pub work: Estimate,
     split: Split,
-    size: f64,
+    answer_size: f64,
     /// Whether an answer was seen.
-    sized: bool,
+    answer_size_known: bool,
 }
 
 impl Class {
@@ -99,18 +99,18 @@
         Self {
             queue: VecDeque::new(),
             in_flight: 0,
-            latencies: Samples::new(FIRST_TYPICAL),
-            work: Estimate::new(spec.target.mul_f64(FIRST_WARM)),
+            latencies: Samples::new(INITIAL_LATENCY),
+            work: Estimate::new(spec.target.mul_f64(INITIAL_WARM_RATIO)),
             split: Split::new(&spec.split),
             spec,
-            size: FIRST_SIZE,
-            sized: false,
+            answer_size: INITIAL_ANSWER_SIZE,
+            answer_size_known: false,
         }
     }
 
     /// Takes new targets.
-    pub fn declare(&mut self, spec: Spec) {
-        if !self.split.is_between(&spec.split) {
+    pub fn update_spec(&mut self, spec: Spec) {
+        if !self.split.has_shares(&spec.split) {
             self.split = Split::new(&spec.split);
         }
         self.spec = spec;
@@ -118,34 +118,34 @@
 
     /// The service of the next request.
     pub fn next_service(&mut self) -> u16 {
-        self.split.deal().unwrap_or(self.spec.service)
+        self.split.next_service().unwrap_or(self.spec.service)
     }
 
     /// Takes in the latency and the answer size of one answered attempt.
-    pub fn note(&mut self, latency: Duration, bytes: u64) {
-        self.size = (self.size * SIZE_FADE).max(bytes as f64);
-        self.sized = true;
-        self.latencies.note(latency);
+    pub fn record(&mut self, latency: Duration, bytes: u64) {
+        self.answer_size = (self.answer_size * ANSWER_SIZE_DECAY).max(bytes as f64);
+        self.answer_size_known = true;
+        self.latencies.record(latency);
     }
 
     /// The median of recent latencies; a third of slow servers does not move it far.
-    pub const fn typical(&self) -> Duration {
+    pub const fn typical_latency(&self) -> Duration {
         self.latencies.median()
     }
 
     /// Age from which an attempt is late; sooner at a server on `trial`.
-    pub fn late_after(&self, trial: bool) -> Duration {
-        self.typical() * if trial { LATE_ON_TRIAL } else { LATE }
+    pub fn late_after(&self, on_probation: bool) -> Duration {
+        self.typical_latency() * if on_probation { PROBATION_LATE_FACTOR } else { LATE_FACTOR }
     }
 
     /// A size that answers seldom pass, in bytes.
-    pub const fn size(&self) -> f64 {
-        self.size
+    pub const fn answer_size(&self) -> f64 {
+        self.answer_size
     }
 
     /// Whether the size rests on answers that were seen.
-    pub const fn sized(&self) -> bool {
-        self.sized
+    pub const fn answer_size_known(&self) -> bool {
+        self.answer_size_known
     }
 
     /// Whether a request that arrived at `arrived` has waited so long that it goes first.
--- a/crates/dispatch/src/engine/answer.rs
+++ b/crates/dispatch/src/engine/answer.rs
@@ -14,12 +14,12 @@
     }
 
     /// Answers with an error; its caller should come back `after`, if not after the usual time.
-    pub(super) fn reject(&mut self, request: u64, kind: Kind, after: Option<Duration>) {
-        self.actions.push(Action::Answer { request, verdict: Verdict::Refuse(kind), retry_after: after });
+    pub(super) fn answer_error(&mut self, request: u64, kind: Kind, retry_after: Option<Duration>) {
+        self.actions.push(Action::Answer { request, verdict: Verdict::Refuse(kind), retry_after });
     }
 
     /// Takes a request out of all books but its attempts'.
-    pub(super) fn close(&mut self, request: u64) -> Option<Request> {
+    pub(super) fn remove_request(&mut self, request: u64) -> Option<Request> {
         let state = self.requests.remove(&request)?;
         self.timers.remove(&(state.deadline, Timer::Deadline(request)));
         if state.queued {
@@ -31,18 +31,18 @@
 
     /// Ends a request with an error that is true of all its attempts.
     pub(super) fn refuse(&mut self, request: u64, kind: Kind, now: Time) {
-        let Some(state) = self.close(request) else { return };
+        let Some(state) = self.remove_request(request) else { return };
         self.cancel_all(&state.live);
-        let kind = match (state.touched, kind.answer().outcome) {
-            (Some(touched), Outcome::NotRun) => touched,
+        let kind = match (state.may_have_run, kind.answer().outcome) {
+            (Some(unknown), Outcome::NotRun) => unknown,
             _ => kind,
         };
-        let (tries, waited, waiting) = (state.tries, now.since(state.arrived), self.queued());
+        let (attempts, waited, waiting) = (state.attempts, now.since(state.arrived), self.queued());
         let candidates = self.candidates(&state, now);
-        self.notes.push(Decision::Refused { request, kind, attempts: tries, waited, waiting, candidates });
+        self.decisions.push(Decision::Refused { request, kind, attempts, waited, waiting, candidates });
         let pause_end = (kind == Kind::Paused).then(|| self.pause_end(&state)).flatten();
-        let after = self.return_after(kind, state.shed_with_room, pause_end, now);
-        self.reject(request, kind, after);
+        let retry_after = self.retry_after(kind, state.shed_with_free_slot, pause_end, now);
+        self.answer_error(request, kind, retry_after);
     }
 
     pub(super) fn cancel_all(&mut self, attempts: &[u64]) {
--- a/crates/dispatch/src/engine/decision.rs
+++ b/crates/dispatch/src/engine/decision.rs
@@ -84,37 +84,37 @@
 impl Engine {
     /// Takes the notes made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.decisions)
     }
 
     /// Lets `work` judge a server and notes what that changed.
-    pub(super) fn judge(&mut self, backend: BackendId, work: impl FnOnce(&mut Backend)) {
+    pub(super) fn update_backend(&mut self, backend: BackendId, update: impl FnOnce(&mut Backend)) {
         let Some(server) = self.backends.get_mut(&backend) else {
             return;
         };
-        let (suspect, until) = (server.suspect(), server.closed_until());
-        work(server);
-        if server.suspect() && server.closed_until() > until {
-            let (until, in_flight) = (server.closed_until(), server.in_flight);
-            self.notes.push(Decision::Ejected { backend, until, in_flight });
-        } else if suspect && !server.suspect() {
-            self.notes.push(Decision::Reinstated { backend });
+        let (was_suspect, was_until) = (server.suspect(), server.unavailable_until());
+        update(server);
+        if server.suspect() && server.unavailable_until() > was_until {
+            let (until, in_flight) = (server.unavailable_until(), server.in_flight);
+            self.decisions.push(Decision::Ejected { backend, until, in_flight });
+        } else if was_suspect && !server.suspect() {
+            self.decisions.push(Decision::Reinstated { backend });
         }
     }
 
     /// Notes that a request waits for a server.
-    pub(super) fn note_held(&mut self, request: u64, now: Time) {
+    pub(super) fn record_held(&mut self, request: u64, now: Time) {
         let candidates = self.requests.get(&request).map(|state| self.candidates(state, now)).unwrap_or_default();
-        self.notes.push(Decision::Held { request, waiting: self.queued(), candidates });
+        self.decisions.push(Decision::Held { request, waiting: self.queued(), candidates });
     }
 
     /// Takes in a loss of a connection; says whether it is news.
-    pub(super) fn note_poison(&mut self, fingerprint: u64, loss: u64, now: Time) -> bool {
-        let before = self.quarantine.refuses(fingerprint, now);
-        let news = self.quarantine.note(fingerprint, loss, now);
-        if !before && self.quarantine.refuses(fingerprint, now) {
-            self.notes.push(Decision::Quarantined { fingerprint });
+    pub(super) fn apply_loss(&mut self, fingerprint: u64, loss: u64, now: Time) -> bool {
+        let was_quarantined = self.quarantine.is_quarantined(fingerprint, now);
+        let is_new = self.quarantine.record_loss(fingerprint, loss, now);
+        if !was_quarantined && self.quarantine.is_quarantined(fingerprint, now) {
+            self.decisions.push(Decision::Quarantined { fingerprint });
         }
-        news
+        is_new
     }
 }
--- a/crates/dispatch/src/engine/ending.rs
+++ b/crates/dispatch/src/engine/ending.rs
@@ -10,63 +10,69 @@
 
 /// What an ended attempt is measured by.
 #[derive(Clone, Copy)]
-struct Judging {
+struct Observation {
     latency: Duration,
-    typical: Duration,
+    typical_latency: Duration,
     /// From this time on an attempt without an answer tells of its server, and not of how little time it had.
-    enough: Duration,
+    min_informative: Duration,
     may_eject: bool,
 }
 
 impl Engine {
     /// Takes an ended attempt out of the server's, the class's and the link's books.
-    pub(super) fn settle(&mut self, ended: &Attempt, ending: Ending, now: Time) {
+    pub(super) fn release(&mut self, ended: &Attempt, ending: Ending, now: Time) {
         let class = &mut self.classes[ended.class];
         class.in_flight -= 1;
-        let waits = class.spec.may_wait;
+        let may_wait = class.spec.may_wait;
         let bytes = if let Ending::Answered(bytes) = ending { bytes } else { 0 };
-        if let Some(reserve) = ended.reserved
-            && let Some(channel) = self.channels.get_mut(&reserve.region)
+        if let Some(reservation) = ended.reserved
+            && let Some(link) = self.links.get_mut(&reservation.region)
         {
-            channel.in_flight -= 1;
-            channel.unsized_in_flight -= u32::from(!reserve.sized);
+            link.in_flight -= 1;
+            link.unsized_in_flight -= u32::from(!reservation.answer_size_known);
             if matches!(ending, Ending::Answered(_)) {
-                channel.bucket.charge(bytes as f64 - reserve.bytes, now);
+                link.bucket.charge(bytes as f64 - reservation.bytes, now);
             }
         }
         // Counting the suspects of a tier costs time with its size, so it is done only where it decides.
         let may_eject = ending == Ending::Timeout && self.may_eject(ended.backend);
         let latency = now.since(ended.started);
         let class = &mut self.classes[ended.class];
-        let typical = match ended.warm {
+        let typical_latency = match ended.warm {
             Some(true) => class.work.warm(),
             Some(false) => class.work.cold(),
-            None => class.typical(),
+            None => class.typical_latency(),
         };
-        let enough = class.late_after(true).min(class.spec.target);
+        let min_informative = class.late_after(true).min(class.spec.target);
         if matches!(ending, Ending::Answered(_)) {
-            class.note(latency, bytes);
-            let free = ended.warm.filter(|_| ended.free);
-            free.into_iter().for_each(|warm| class.work.note(latency, ended.pace, warm));
+            class.record(latency, bytes);
+            let on_free_slot = ended.warm.filter(|_| ended.had_free_slot);
+            on_free_slot.into_iter().for_each(|warm| class.work.record(latency, ended.pace, warm));
         }
-        self.judge(ended.backend, |backend| {
-            backend.end(waits, ended.late, now);
-            Self::learn(backend, ended, ending, Judging { latency, typical, enough, may_eject }, now);
+        self.update_backend(ended.backend, |backend| {
+            backend.record_end(may_wait, ended.late, now);
+            Self::record_ending(
+                backend,
+                ended,
+                ending,
+                Observation { latency, typical_latency, min_informative, may_eject },
+                now,
+            );
         });
     }
 
     /// What a server's ending of an attempt tells of it.
-    fn learn(backend: &mut Backend, ended: &Attempt, ending: Ending, judging: Judging, now: Time) {
-        let Judging { latency, typical, enough, may_eject } = judging;
+    fn record_ending(backend: &mut Backend, ended: &Attempt, ending: Ending, observation: Observation, now: Time) {
+        let Observation { latency, typical_latency, min_informative, may_eject } = observation;
         match ending {
             Ending::Answered(_) => {
-                let ratio = latency.as_secs_f64() / typical.as_secs_f64();
-                backend.answered(ratio, ended.late, ended.warm.is_some(), now);
+                let ratio = latency.as_secs_f64() / typical_latency.as_secs_f64();
+                backend.record_answer(ratio, ended.late, ended.warm.is_some(), now);
             }
-            Ending::Shed => backend.shed(ended.warm.is_some(), now),
-            Ending::Unreachable => backend.failed(now),
-            Ending::Lost | Ending::Cut => backend.lost(now),
-            Ending::Timeout if !ended.late && latency >= enough => {
+            Ending::Shed => backend.record_shed(ended.warm.is_some(), now),
+            Ending::Unreachable => backend.record_failure(now),
+            Ending::Lost | Ending::Cut => backend.record_loss(now),
+            Ending::Timeout if !ended.late && latency >= min_informative => {
                 backend.record_late_end(may_eject, ended.warm.is_some(), now);
             }
             Ending::Timeout | Ending::TooLarge | Ending::Withheld(_) | Ending::Recalled | Ending::Cancelled => {}
@@ -74,60 +80,61 @@
     }
 
     /// Decides what an ended attempt means for its request.
-    pub(super) fn conclude(&mut self, attempt: u64, ended: &Attempt, ending: Ending, now: Time) {
+    pub(super) fn resolve(&mut self, attempt: u64, ended: &Attempt, ending: Ending, now: Time) {
         if ending == Ending::Lost {
-            self.note_loss(ended, attempt, now);
+            self.record_loss(ended, attempt, now);
         }
         let request = ended.request;
-        let room = self.backends.get(&ended.backend).is_some_and(|server| server.tells_room(now));
+        let free_slot = self.backends.get(&ended.backend).is_some_and(|server| server.reports_free_slot(now));
         let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
         state.live.retain(|live| *live != attempt);
         if ending == Ending::Shed {
-            state.barred.retain(|barred| *barred != ended.backend);
-            state.shed_with_room = room;
+            state.excluded.retain(|excluded| *excluded != ended.backend);
+            state.shed_with_free_slot = free_slot;
         }
         match ending {
             Ending::Answered(_) => {
                 let fingerprint = state.fingerprint;
                 self.quarantine.clear(fingerprint, now);
-                let rest = self.close(request).map(|state| state.live).unwrap_or_default();
-                self.cancel_all(&rest);
+                let others = self.remove_request(request).map(|state| state.live).unwrap_or_default();
+                self.cancel_all(&others);
                 self.answer(request, Verdict::Relay(attempt));
             }
             Ending::Withheld(kind) => self.refuse(request, kind, now),
-            Ending::Recalled => self.elsewhere(request, ended.backend, now),
-            Ending::Shed => self.again(request, Kind::Shed, now),
-            Ending::Unreachable => self.again(request, Kind::Unreachable, now),
-            Ending::Lost => self.again(request, Kind::BackendLost, now),
-            Ending::Timeout => self.again(request, Kind::BackendTimeout, now),
-            Ending::Cut => self.again(request, Kind::AnswerCut, now),
+            Ending::Recalled => self.reroute(request, ended.backend, now),
+            Ending::Shed => self.retry(request, Kind::Shed, now),
+            Ending::Unreachable => self.retry(request, Kind::Unreachable, now),
+            Ending::Lost => self.retry(request, Kind::BackendLost, now),
+            Ending::Timeout => self.retry(request, Kind::BackendTimeout, now),
+            Ending::Cut => self.retry(request, Kind::AnswerCut, now),
             Ending::TooLarge => self.refuse(request, Kind::AnswerTooLarge, now),
             // Nobody cancelled it, or its request would be closed: the server gave up work that it had begun.
-            Ending::Cancelled => self.again(request, Kind::BackendTimeout, now),
+            Ending::Cancelled => self.retry(request, Kind::BackendTimeout, now),
         }
     }
 
     /// Sends a request again if that is safe, allowed and of use; otherwise answers with `kind`.
-    fn again(&mut self, request: u64, kind: Kind, now: Time) {
+    fn retry(&mut self, request: u64, kind: Kind, now: Time) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
         let unknown = kind.answer().outcome == Outcome::Unknown;
         if unknown {
-            state.touched = Some(kind);
+            state.may_have_run = Some(kind);
         }
         if !state.live.is_empty() {
             return;
         }
         let idempotent = self.classes[state.class].spec.idempotent;
-        let safe = idempotent || state.touched.is_none();
-        let tries_left = state.tries < self.classes[state.class].spec.max_attempts;
-        let poisoned = self.quarantine.refuses(state.fingerprint, now);
-        let late = now >= state.deadline;
+        let safe = idempotent || state.may_have_run.is_none();
+        let attempts_left = state.attempts < self.classes[state.class].spec.max_attempts;
+        let quarantined = self.quarantine.is_quarantined(state.fingerprint, now);
+        let expired = now >= state.deadline;
         let service = state.service;
-        if !safe || !tries_left || poisoned || late || !(self.retries.spend() && self.repeats(service).spend()) {
+        if !safe || !attempts_left || quarantined || expired || !(self.retries.spend() && self.repeats(service).spend())
+        {
             return self.refuse(request, kind, now);
         }
         if self.requests.get(&request).is_some_and(|state| state.object.is_some()) {
@@ -137,12 +144,12 @@
     }
 
     /// Sends a request somewhere else after an attempt of which no byte was sent.
-    fn elsewhere(&mut self, request: u64, from: BackendId, now: Time) {
+    fn reroute(&mut self, request: u64, from: BackendId, now: Time) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
-        state.tries -= 1;
-        state.barred.retain(|barred| *barred != from);
+        state.attempts -= 1;
+        state.excluded.retain(|excluded| *excluded != from);
         if !state.live.is_empty() {
             return;
         }
@@ -152,13 +159,13 @@
         self.enqueue(request, true);
     }
 
-    fn note_loss(&mut self, ended: &Attempt, attempt: u64, now: Time) {
+    fn record_loss(&mut self, ended: &Attempt, attempt: u64, now: Time) {
         let Some(state) = self.requests.get(&ended.request) else {
             return;
         };
-        let loss = base::hash::pair(self.salt, attempt);
+        let loss = base::hash::pair(self.loss_seed, attempt);
         let fingerprint = state.fingerprint;
-        if self.note_poison(fingerprint, loss, now) {
+        if self.apply_loss(fingerprint, loss, now) {
             self.losses.push((fingerprint, loss));
         }
     }
--- a/crates/dispatch/src/engine/keyed.rs
+++ b/crates/dispatch/src/engine/keyed.rs
@@ -17,33 +17,33 @@
 use crate::backend::{Backend, BackendId, Place};
 
 /// How likely other daemons have made an object warm at the home where it lives, before we have seen it.
-const WARM_WHERE_IT_LIVES: f64 = 0.9;
+const PRIMARY_WARM_PROBABILITY: f64 = 0.9;
 /// The same for its other home.
-const WARM_ELSEWHERE: f64 = 0.2;
+const SECONDARY_WARM_PROBABILITY: f64 = 0.2;
 /// How the part of the objects that live near falls with the region's part of the slots: a region that is short of
 /// servers keeps less than these could carry when all objects are new to them, as at the start.
-const SHORTNESS: f64 = 1.5;
+const SHORTAGE_EXPONENT: f64 = 1.5;
 /// Part of the target that it is worth not to bring a server an object that is new to it: such work is late in any
 /// case, and drives another object out.
-const NEW_COST: f64 = 1.0;
+const COLD_COST: f64 = 1.0;
 /// Part of the target that bytes between regions are worth.
 const REMOTE_COST: f64 = 0.1;
 /// Part of the target that bytes between failure domains are worth.
 const DOMAIN_COST: f64 = 0.02;
 /// The way to another region and back.
-const REMOTE_WAY: Duration = Duration::from_millis(30);
+const REMOTE_ROUND_TRIP: Duration = Duration::from_millis(30);
 /// The way to another failure domain and back.
-const DOMAIN_WAY: Duration = Duration::from_millis(3);
+const DOMAIN_ROUND_TRIP: Duration = Duration::from_millis(3);
 /// Requests at one server at most, for each of its slots.
-const DEPTH: f64 = 4.0;
+const MAX_LOAD_PER_SLOT: f64 = 4.0;
 /// Requests of ours at a server that has not told its load yet, at most.
-const UNTOLD: u32 = 1;
+const MAX_UNREPORTED: u32 = 1;
 /// The same at the home where the request's object lives: elsewhere it would be one more server's work to learn it.
-const UNTOLD_WHERE_IT_LIVES: u32 = 2;
+const MAX_UNREPORTED_AT_PRIMARY: u32 = 2;
 /// Slots that work which will be late leaves free.
-const SPARED: f64 = 1.0;
+const RESERVED_SLOTS: f64 = 1.0;
 /// Time between two guesses of what servers do that have not told their load.
-const GUESS_EVERY: Duration = Duration::from_millis(500);
+const ESTIMATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The servers that serve an object now, near and elsewhere.
 pub(super) type Homes = [Option<BackendId>; 2];
@@ -52,9 +52,9 @@
 struct Home {
     id: BackendId,
     /// Whether the object lives there rather than at its other home.
-    lives: bool,
+    is_primary: bool,
     /// How likely the object is warm there if we have not seen it.
-    warm: f64,
+    warm_probability: f64,
 }
 
 impl Engine {
@@ -62,10 +62,10 @@
     pub(super) fn pick_keyed(&self, state: &Request, object: u64, now: Time) -> (Option<BackendId>, Homes) {
         let score = |home: Home| {
             let server = self.backends.get(&home.id)?;
-            let warm = if self.warmth.has(home.id, object) { 1.0 } else { home.warm };
-            let finish = self.time_to_answer(server, state, warm, now);
-            let taken = self.takes(server, state, finish, home.lives, now);
-            taken.then(|| (finish.as_secs_f64() + self.price(server, state, warm), home.id))
+            let warm_probability = if self.warmth.has(home.id, object) { 1.0 } else { home.warm_probability };
+            let latency = self.expected_latency(server, state, warm_probability, now);
+            let accepted = self.accepts(server, state, latency, home.is_primary, now);
+            accepted.then(|| (latency.as_secs_f64() + self.placement_cost(server, state, warm_probability), home.id))
         };
         let homes = self.homes(state, object, now);
         let ids = homes.each_ref().map(|home| home.as_ref().map(|home| home.id));
@@ -81,13 +81,13 @@
         self.homes(state, object, now).map(|home| {
             let home = home?;
             let server = self.backends.get(&home.id)?;
-            let warm = if self.warmth.has(home.id, object) { 1.0 } else { home.warm };
-            let finish = self.time_to_answer(server, state, warm, now);
+            let warm_probability = if self.warmth.has(home.id, object) { 1.0 } else { home.warm_probability };
+            let latency = self.expected_latency(server, state, warm_probability, now);
             Some(Candidate {
                 backend: home.id,
                 load: server.load(now),
                 pace: server.pace(now),
-                expected_latency: finish,
+                expected_latency: latency,
             })
         })
     }
@@ -98,30 +98,30 @@
         let Some([near, far]) = self.tiers.get(service) else {
             return [None, None];
         };
-        let lives_near = self.near_parts.get(service).is_none_or(|part| hash::unit(object) < *part);
-        let home = |servers: &[BackendId], lives: bool| {
-            let id = self.first(servers, state, object, now)?;
-            let warm = if lives { WARM_WHERE_IT_LIVES } else { WARM_ELSEWHERE };
-            Some(Home { id, lives, warm })
+        let primary_near = self.near_shares.get(service).is_none_or(|share| hash::unit(object) < *share);
+        let home = |servers: &[BackendId], is_primary: bool| {
+            let id = self.home_in(servers, state, object, now)?;
+            let warm_probability = if is_primary { PRIMARY_WARM_PROBABILITY } else { SECONDARY_WARM_PROBABILITY };
+            Some(Home { id, is_primary, warm_probability })
         };
-        [home(near, lives_near), home(far, !lives_near)]
+        [home(near, primary_near), home(far, !primary_near)]
     }
 
     /// The first of `servers` in the object's order that serves. Few of them are looked up: only those that come before
     /// all that were seen so far.
-    fn first(&self, servers: &[BackendId], state: &Request, object: u64, now: Time) -> Option<BackendId> {
+    fn home_in(&self, servers: &[BackendId], state: &Request, object: u64, now: Time) -> Option<BackendId> {
         let class = &self.classes[state.class].spec;
-        let up = |id: &BackendId| {
+        let usable = |id: &BackendId| {
             let server = self.backends.get(id);
             server.is_some_and(|server| {
-                let open = !server.leaving() && !server.unavailable(now) && !state.barred.contains(id);
-                open && class.allows(server.spec.region)
+                let serves = !server.leaving() && !server.unavailable(now) && !state.excluded.contains(id);
+                serves && class.allows(server.spec.region)
             })
         };
         let mut first = None;
         for id in servers {
             let rank = hash::pair(object, u64::from(*id));
-            if first.is_none_or(|(best, _)| rank > best) && up(id) {
+            if first.is_none_or(|(best, _)| rank > best) && usable(id) {
                 first = Some((rank, *id));
             }
         }
@@ -130,7 +130,7 @@
 
     /// The part of a service's objects that live near: all of them, or fewer where the region has less than its even
     /// part of the slots.
-    pub(super) fn near_part(&self, service: usize) -> f64 {
+    pub(super) fn near_share(&self, service: usize) -> f64 {
         let Some([near, far]) = self.tiers.get(service) else {
             return 1.0;
         };
@@ -144,64 +144,64 @@
         if near + far <= 0.0 {
             return 1.0;
         }
-        (regions as f64 * near / (near + far)).min(1.0).powf(SHORTNESS)
+        (regions as f64 * near / (near + far)).min(1.0).powf(SHORTAGE_EXPONENT)
     }
 
     /// Takes servers that have not told their load to be as busy as the others of their service: those nobody has
     /// asked yet are not empty.
-    pub(super) fn guess_loads(&mut self, service: u16, now: Time) {
-        let last = self.guessed.entry(service).or_insert(Time::ZERO);
-        if now.since(*last) < GUESS_EVERY {
+    pub(super) fn estimate_loads(&mut self, service: u16, now: Time) {
+        let last = self.loads_estimated_at.entry(service).or_insert(Time::ZERO);
+        if now.since(*last) < ESTIMATE_INTERVAL {
             return;
         }
         *last = now;
         let servers = self.backends.values().filter(|server| server.spec.service == service);
-        let told = servers.filter_map(Backend::usual_others);
-        let (count, sum) = told.fold((0.0, 0.0), |(count, sum), one| (count + 1.0, sum + one));
+        let reported = servers.filter_map(Backend::average_others);
+        let (count, sum) = reported.fold((0.0, 0.0), |(count, sum), one| (count + 1.0, sum + one));
         let servers = self.backends.values_mut().filter(|server| server.spec.service == service);
         servers.for_each(|server| server.assume_others(sum / f64::max(count, 1.0)));
     }
 
     /// Whether a server can be sent a request now that would be answered after `finish`: in time, or on a free slot.
-    fn takes(&self, server: &Backend, state: &Request, finish: Duration, lives: bool, now: Time) -> bool {
-        if !server.admits(now) || server.eased() || !self.channel_open(server.spec.place, state, now) {
+    fn accepts(&self, server: &Backend, state: &Request, latency: Duration, is_primary: bool, now: Time) -> bool {
+        if !server.admits(now) || server.at_resume_limit() || !self.link_has_capacity(server.spec.place, state, now) {
             return false;
         }
         if server.suspect() {
             return server.in_flight == 0;
         }
-        let untold = if lives { UNTOLD_WHERE_IT_LIVES } else { UNTOLD };
-        if server.told().is_none() && server.in_flight >= untold {
+        let max_unreported = if is_primary { MAX_UNREPORTED_AT_PRIMARY } else { MAX_UNREPORTED };
+        if server.reported_at().is_none() && server.in_flight >= max_unreported {
             return false;
         }
         let (load, slots) = (server.load(now), f64::from(server.spec.slots));
         let target = state.arrived + self.classes[state.class].spec.target;
-        let in_time = now + finish <= target && load < slots * DEPTH;
-        in_time || load < slots - SPARED
+        let in_time = now + latency <= target && load < slots * MAX_LOAD_PER_SLOT;
+        in_time || load < slots - RESERVED_SLOTS
     }
 
     /// Time to the answer if the request is sent to `server`, where its object is warm with likelihood `warm`.
-    fn time_to_answer(&self, server: &Backend, state: &Request, warm: f64, now: Time) -> Duration {
+    fn expected_latency(&self, server: &Backend, state: &Request, warm_probability: f64, now: Time) -> Duration {
         let class = &self.classes[state.class];
-        let way = match server.spec.place {
+        let round_trip = match server.spec.place {
             Place::Domain => Duration::ZERO,
-            Place::Region => DOMAIN_WAY,
-            Place::Remote(_) => REMOTE_WAY,
+            Place::Region => DOMAIN_ROUND_TRIP,
+            Place::Remote(_) => REMOTE_ROUND_TRIP,
         };
-        let work = class.work.warm().mul_f64(warm) + class.work.cold().mul_f64(1.0 - warm);
+        let work = class.work.warm().mul_f64(warm_probability) + class.work.cold().mul_f64(1.0 - warm_probability);
         let slots = f64::from(server.spec.slots.max(1));
         let ahead = (server.load(now) + 1.0 - slots).max(0.0) / slots;
-        way + (work + class.work.warm().mul_f64(ahead)).mul_f64(server.pace(now))
+        round_trip + (work + class.work.warm().mul_f64(ahead)).mul_f64(server.pace(now))
     }
 
     /// What it costs besides time to run the request at `server`, in seconds.
-    fn price(&self, server: &Backend, state: &Request, warm: f64) -> f64 {
+    fn placement_cost(&self, server: &Backend, state: &Request, warm_probability: f64) -> f64 {
         let target = self.classes[state.class].spec.target.as_secs_f64();
-        let way = match server.spec.place {
+        let distance = match server.spec.place {
             Place::Domain => 0.0,
             Place::Region => DOMAIN_COST,
             Place::Remote(_) => REMOTE_COST,
         };
-        (way + NEW_COST * (1.0 - warm)) * target
+        (distance + COLD_COST * (1.0 - warm_probability)) * target
     }
 }
--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -20,7 +20,7 @@
 
 pub use self::decision::{Candidate, Decision};
 pub use self::event::{Action, Arrival, Basis, Budgets, Ending, Limits, Remote, Verdict};
-use self::state::{Attempt, Channel, Request, Timer};
+use self::state::{Attempt, Link, Request, Timer};
 use crate::announcements::Announcements;
 use crate::backend::{Backend, BackendId};
 use crate::budget::Budget;
@@ -29,50 +29,50 @@
 use crate::warmth::Warmth;
 
 /// Time after which waiting requests are looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// The same where only requests about objects wait.
-const LOOK_AT_HELD: Duration = Duration::from_millis(20);
+const HELD_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Decides what runs where.
 #[derive(Debug, Clone)]
 pub struct Engine {
     limits: Limits,
     classes: Vec<Class>,
-    order: Vec<usize>,
+    priority_order: Vec<usize>,
     backends: BTreeMap<BackendId, Backend>,
     /// For each service: servers of our region, and servers elsewhere.
     tiers: Vec<[Vec<BackendId>; 2]>,
-    channels: BTreeMap<u16, Channel>,
+    links: BTreeMap<u16, Link>,
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<u64, Attempt>,
     timers: BTreeSet<(Time, Timer)>,
     /// Requests about objects that wait for a home, by service.
     held: BTreeMap<u16, Vec<u64>>,
     /// When waiting requests are looked at again.
-    looking: Option<Time>,
+    recheck_at: Option<Time>,
     next_attempt: u64,
-    choices: u64,
+    picks: u64,
     queued: usize,
     hedges: Budget,
     retries: Budget,
     /// Hedges and retries together, by service.
     repeats: BTreeMap<u16, Budget>,
     warmth: Warmth,
-    words: Announcements,
+    announcements: Announcements,
     /// Until when what is believed of servers is not acted on.
-    doubted_until: Time,
+    suspended_until: Time,
     /// When the last pause ends that a server asked for.
-    pauses_end: Time,
+    last_pause_end: Time,
     /// Parts of the objects that live near, by service.
-    near_parts: Vec<f64>,
+    near_shares: Vec<f64>,
     /// When the loads of servers that told none were last guessed, by service.
-    guessed: BTreeMap<u16, Time>,
+    loads_estimated_at: BTreeMap<u16, Time>,
     quarantine: Quarantine,
     losses: Vec<(u64, u64)>,
-    salt: u64,
+    loss_seed: u64,
     rng: fastrand::Rng,
     actions: Vec<Action>,
-    notes: Vec<Decision>,
+    decisions: Vec<Decision>,
     stopping: bool,
     #[cfg(feature = "policies")]
     policy: policy::Policy,
@@ -84,33 +84,33 @@
         let mut engine = Self {
             limits,
             classes: Vec::new(),
-            order: Vec::new(),
+            priority_order: Vec::new(),
             backends: BTreeMap::new(),
             tiers: Vec::new(),
-            channels: BTreeMap::new(),
+            links: BTreeMap::new(),
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             timers: BTreeSet::new(),
             held: BTreeMap::new(),
-            looking: None,
+            recheck_at: None,
             next_attempt: 0,
-            choices: 0,
+            picks: 0,
             queued: 0,
             hedges: Budget::new(limits.budgets.hedge_ratio, limits.budgets.hedge_burst),
             retries: Budget::new(limits.budgets.retry_ratio, limits.budgets.retry_burst),
             repeats: BTreeMap::new(),
             warmth: Warmth::new(),
-            words: Announcements::new(),
-            doubted_until: Time::ZERO,
-            pauses_end: Time::ZERO,
-            near_parts: Vec::new(),
-            guessed: BTreeMap::new(),
+            announcements: Announcements::new(),
+            suspended_until: Time::ZERO,
+            last_pause_end: Time::ZERO,
+            near_shares: Vec::new(),
+            loads_estimated_at: BTreeMap::new(),
             quarantine: Quarantine::new(limits.quarantine),
             losses: Vec::new(),
-            salt: seed,
+            loss_seed: seed,
             rng: fastrand::Rng::with_seed(seed),
             actions: Vec::new(),
-            notes: Vec::new(),
+            decisions: Vec::new(),
             stopping: false,
             #[cfg(feature = "policies")]
             policy: policy::Policy::default(),
@@ -126,7 +126,7 @@
 
     /// Requests that are refused because they crash servers, by fingerprint.
     pub fn quarantined(&self, now: Time) -> usize {
-        self.quarantine.refused(now)
+        self.quarantine.count(now)
     }
 
     /// Requests here.
@@ -145,8 +145,8 @@
     }
 
     /// Choices of a server so far, those that found none among them: what deciding costs.
-    pub const fn choices(&self) -> u64 {
-        self.choices
+    pub const fn picks(&self) -> u64 {
+        self.picks
     }
 
     /// Backend servers, for showing.
@@ -161,9 +161,9 @@
         self.hedges.earn();
         self.retries.earn();
         self.repeats(service).earn();
-        if let Some(kind) = self.refusal(class, fingerprint, now) {
+        if let Some(kind) = self.admission_error(class, fingerprint, now) {
             let waiting = self.queued();
-            let note = Decision::Refused {
+            let refused = Decision::Refused {
                 request,
                 kind,
                 attempts: 0,
@@ -171,14 +171,14 @@
                 waiting,
                 candidates: [None, None],
             };
-            self.notes.push(note);
-            let after = self.return_after(kind, false, None, now);
-            return self.reject(request, kind, after);
+            self.decisions.push(refused);
+            let retry_after = self.retry_after(kind, false, None, now);
+            return self.answer_error(request, kind, retry_after);
         }
         let spec = &self.classes[class].spec;
         let object = object.filter(|_| spec.affinity).map(|object| base::hash::pair(object, spec.key));
         if object.is_some() {
-            self.guess_loads(service, now);
+            self.estimate_loads(service, now);
         }
         let spec = &self.classes[class].spec;
         let deadline = now + timeout.map_or(spec.deadline, |timeout| timeout.min(spec.deadline));
@@ -191,13 +191,13 @@
             bytes,
             arrived: now,
             deadline,
-            tries: 0,
-            barred: Vec::new(),
+            attempts: 0,
+            excluded: Vec::new(),
             live: Vec::new(),
             hedged: false,
             queued: false,
-            shed_with_room: false,
-            touched: None,
+            shed_with_free_slot: false,
+            may_have_run: None,
         };
         self.requests.insert(request, state);
         self.timers.insert((deadline, Timer::Deadline(request)));
@@ -208,22 +208,22 @@
         self.enqueue(request, false);
         // Behind others that wait there is nothing to try: they could not be placed.
         if first {
-            self.pump_class(class, now);
+            self.dispatch_class(class, now);
         }
         if self.queued > 0 {
-            self.look_again(now);
+            self.schedule_recheck(now);
         }
     }
 
     /// The caller went away: nothing more is done for the request.
     pub fn abandon(&mut self, request: u64, now: Time) {
-        if let Some(state) = self.close(request) {
+        if let Some(state) = self.remove_request(request) {
             // Work that must not run twice goes on: broken off, nobody would know what became of it.
             if self.classes[state.class].spec.idempotent {
                 self.cancel_all(&state.live);
             }
         }
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 
     /// An attempt ended.
@@ -232,28 +232,28 @@
             return;
         };
         self.timers.remove(&(ended.late_at, Timer::Late(attempt)));
-        self.settle(&ended, ending, now);
-        self.conclude(attempt, &ended, ending, now);
-        self.pump_freed(Some(ended.backend), now);
+        self.release(&ended, ending, now);
+        self.resolve(attempt, &ended, ending, now);
+        self.dispatch_waiting_for(Some(ended.backend), now);
     }
 
     /// Does what is due at `now`.
     pub fn tick(&mut self, now: Time) {
-        let mut look = false;
+        let mut recheck = false;
         while let Some((at, timer)) = self.timers.first().copied() {
             if at > now {
                 break;
             }
             self.timers.remove(&(at, timer));
             match timer {
-                Timer::Late(attempt) => self.late(attempt, now),
+                Timer::Late(attempt) => self.handle_late(attempt, now),
                 Timer::Deadline(request) => self.expire(request, now),
-                Timer::Look => look = true,
+                Timer::Recheck => recheck = true,
             }
         }
-        if look {
-            self.looking = None;
-            self.pump(now);
+        if recheck {
+            self.recheck_at = None;
+            self.dispatch_waiting(now);
         }
     }
 
@@ -264,7 +264,7 @@
 
     /// Takes the actions decided since the last call; notes that were not taken before are dropped.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        self.notes.clear();
+        self.decisions.clear();
         std::mem::take(&mut self.actions)
     }
 
--- a/crates/dispatch/src/engine/pick.rs
+++ b/crates/dispatch/src/engine/pick.rs
@@ -5,7 +5,7 @@
 use base::error::Kind;
 use base::time::Time;
 
-use super::state::Reserve;
+use super::state::Reservation;
 use super::{Action, Attempt, Basis, Engine, Request, Timer};
 use crate::backend::{Backend, BackendId, Place};
 
@@ -14,31 +14,31 @@
 /// Usable servers that are compared.
 const CHOICES: u32 = 2;
 /// Random servers looked at to find them.
-const SAMPLES: usize = 8;
+const MAX_SAMPLES: usize = 8;
 /// Servers looked at when no sample will do.
-const SCANNED: usize = 32;
+const MAX_SCANNED: usize = 32;
 /// Wait from which another region is worth its way.
-const REMOTE_WORTH: Duration = Duration::from_millis(30);
+const REMOTE_WAIT_THRESHOLD: Duration = Duration::from_millis(30);
 /// How many times as long as usual work takes at a server that another region's is better than.
-const SLOW: f64 = 3.0;
+const SLOW_RATIO: f64 = 3.0;
 /// How many times slower than a far server a near one must be to be passed over.
-const WORTH: f64 = 1.5;
+const MIN_FAR_SPEEDUP: f64 = 1.5;
 /// Cost of a server in another failure domain, in requests.
 const DOMAIN_COST: f64 = 0.2;
 /// Part of a tier's servers that may be ejected at once.
-const EJECTED_PART: f64 = 0.5;
+const MAX_EJECTED_RATIO: f64 = 0.5;
 /// Requests beyond its slots that a server is trusted to queue when all reports say it is full.
-const OVERBOOKED: f64 = 1.0;
+const OVERBOOKING: f64 = 1.0;
 
 impl Engine {
     /// The server for the next attempt of `request`; `None` if it has to wait.
     pub(super) fn pick(&mut self, request: u64, now: Time) -> Option<BackendId> {
-        self.choices += 1;
+        self.picks += 1;
         #[cfg(feature = "policies")]
         if self.policy != super::policy::Policy::Steered {
             return self.pick_plain(request);
         }
-        if now < self.doubted_until {
+        if now < self.suspended_until {
             return None;
         }
         let state = self.requests.get(&request)?.clone();
@@ -51,19 +51,20 @@
         }
         let service = usize::from(state.service);
         let near = self.pick_tier(service, 0, &state, now);
-        let slow = near.and_then(|id| self.backends.get(&id)).is_some_and(|server| server.latency_ratio() >= SLOW);
-        let away = if near.is_some() { slow } else { self.remote_allowed(service, &state, now) };
-        if !away || (slow && self.classes[state.class].spec.may_wait) {
+        let slow =
+            near.and_then(|id| self.backends.get(&id)).is_some_and(|server| server.latency_ratio() >= SLOW_RATIO);
+        let try_far = if near.is_some() { slow } else { self.remote_allowed(service, &state, now) };
+        if !try_far || (slow && self.classes[state.class].spec.may_wait) {
             return near;
         }
         let far = self.pick_tier(service, 1, &state, now);
-        if slow && !self.worth(far, near) { near } else { far.or(near) }
+        if slow && !self.far_is_faster(far, near) { near } else { far.or(near) }
     }
 
     /// Whether work at `far` has been quicker than at `near` by enough, the way there included.
-    fn worth(&self, far: Option<BackendId>, near: Option<BackendId>) -> bool {
+    fn far_is_faster(&self, far: Option<BackendId>, near: Option<BackendId>) -> bool {
         let ratio = |id: Option<BackendId>| id.and_then(|id| self.backends.get(&id)).map(Backend::latency_ratio);
-        matches!((ratio(far), ratio(near)), (Some(far), Some(near)) if far * WORTH < near)
+        matches!((ratio(far), ratio(near)), (Some(far), Some(near)) if far * MIN_FAR_SPEEDUP < near)
     }
 
     /// Starts an attempt of `request` at `backend`.
@@ -74,26 +75,27 @@
         let (index, bytes, deadline) = (state.class, state.bytes, state.deadline);
         let class = &mut self.classes[index];
         class.in_flight += 1;
-        let waits = class.spec.may_wait;
+        let may_wait = class.spec.may_wait;
         let Some(server) = self.backends.get_mut(&backend) else {
             return;
         };
         let late_at = now + class.late_after(server.suspect());
         let object = state.object;
         let warm = object.map(|object| !self.warmth.touch(backend, object));
-        let (own, load, speed, told) = (server.in_flight, server.load(now), server.pace(now), server.told());
+        let (own_in_flight, load, pace, reported_at) =
+            (server.in_flight, server.load(now), server.pace(now), server.reported_at());
         let slots = f64::from(server.spec.slots);
-        server.start(waits, now);
+        server.record_start(may_wait, now);
         let place = server.spec.place;
-        let reserved = self.reserve(place, index, bytes as f64, now);
+        let reserved = self.reserve_link(place, index, bytes as f64, now);
         self.next_attempt += 1;
         let attempt = self.next_attempt;
         let started = Attempt {
             request,
             class: index,
             warm,
-            free: load < slots,
-            pace: speed,
+            had_free_slot: load < slots,
+            pace,
             backend,
             started: now,
             late_at,
@@ -106,22 +108,22 @@
             return;
         };
         state.live.push(attempt);
-        state.tries += 1;
-        state.barred.push(backend);
-        let retry = state.tries > 1;
-        let basis = Basis { warm, own_in_flight: own, load, pace: speed, reported_at: told };
+        state.attempts += 1;
+        state.excluded.push(backend);
+        let retry = state.attempts > 1;
+        let basis = Basis { warm, own_in_flight, load, pace, reported_at };
         self.actions.push(Action::Start { request, attempt, backend, deadline, retry, basis });
     }
 
     /// An attempt is late: the server is marked, and the request hedged if that is allowed.
-    pub(super) fn late(&mut self, attempt: u64, now: Time) {
+    pub(super) fn handle_late(&mut self, attempt: u64, now: Time) {
         let may_eject = self.attempts.get(&attempt).is_some_and(|live| self.may_eject(live.backend));
         let Some(live) = self.attempts.get_mut(&attempt) else {
             return;
         };
         live.late = true;
         let (request, class, backend, keyed) = (live.request, live.class, live.backend, live.warm.is_some());
-        self.judge(backend, |server| server.record_late(may_eject, keyed, now));
+        self.update_backend(backend, |server| server.record_late(may_eject, keyed, now));
         #[cfg(feature = "policies")]
         if self.policy != super::policy::Policy::Steered {
             return;
@@ -130,7 +132,7 @@
         let Some(state) = self.requests.get(&request) else {
             return;
         };
-        if state.tries >= spec.max_attempts {
+        if state.attempts >= spec.max_attempts {
             return;
         }
         if !spec.idempotent || spec.may_wait || state.hedged || state.live.len() != 1 || state.queued {
@@ -159,12 +161,12 @@
         let members = &tiers[tier];
         let others = members.iter().filter(|id| **id != backend).filter_map(|id| self.backends.get(id));
         let suspects = others.filter(|server| server.suspect()).count();
-        (suspects + 1) as f64 <= members.len() as f64 * EJECTED_PART
+        (suspects + 1) as f64 <= members.len() as f64 * MAX_EJECTED_RATIO
     }
 
     /// Takes servers back that were ejected for late answers, if no other server is left for the work of `request`; says
     /// whether there were any. Late answers are better than none.
-    pub(super) fn pardon(&mut self, request: u64, now: Time) -> bool {
+    pub(super) fn reinstate_slow(&mut self, request: u64, now: Time) -> bool {
         let Some(state) = self.requests.get(&request) else { return false };
         let (class, service) = (state.class, usize::from(state.service));
         let Some(tiers) = self.tiers.get(service) else { return false };
@@ -174,18 +176,18 @@
             let server = self.backends.get(id);
             server.is_some_and(|server| !server.leaving() && !server.ejected(now) && spec.allows(server.spec.region))
         };
-        if now < self.doubted_until || serving.iter().any(open) {
+        if now < self.suspended_until || serving.iter().any(open) {
             return false;
         }
-        let pardoned = serving.iter().filter(|id| {
+        let reinstated = serving.iter().filter(|id| {
             let allowed = self.backends.get(id).is_some_and(|server| spec.allows(server.spec.region));
-            allowed && self.backends.get_mut(id).is_some_and(|server| server.pardon(now))
+            allowed && self.backends.get_mut(id).is_some_and(|server| server.reinstate(now))
         });
-        pardoned.count() > 0
+        reinstated.count() > 0
     }
 
     /// Why `request` can never be sent before its deadline, if so.
-    pub(super) fn impossible(&self, request: u64) -> Option<Kind> {
+    pub(super) fn unplaceable(&self, request: u64) -> Option<Kind> {
         let state = self.requests.get(&request)?;
         let service = usize::from(state.service);
         let Some(tiers) = self.tiers.get(service) else {
@@ -194,36 +196,36 @@
         let ids = || tiers.iter().flatten().filter_map(|id| self.backends.get(id));
         let spec = &self.classes[state.class].spec;
         let serves = |server: &&Backend| {
-            !server.leaving() && !state.barred.contains(&server.spec.id) && spec.allows(server.spec.region)
+            !server.leaving() && !state.excluded.contains(&server.spec.id) && spec.allows(server.spec.region)
         };
-        let reached = |server: &&Backend| !server.ejected(state.deadline);
-        let wanted = |server: &&Backend| !server.paused(self.latest(state));
-        let granted = |server: &&Backend| self.granted(server.spec.place);
+        let reachable = |server: &&Backend| !server.ejected(state.deadline);
+        let accepting = |server: &&Backend| !server.paused(self.wait_deadline(state));
+        let granted = |server: &&Backend| self.remote_granted(server.spec.place);
         if !ids().any(|server| serves(&server)) {
             return Some(Kind::NoBackend);
         }
-        if !ids().any(|server| serves(&server) && reached(&server)) {
+        if !ids().any(|server| serves(&server) && reachable(&server)) {
             return Some(Kind::Unreachable);
         }
-        if !ids().any(|server| serves(&server) && reached(&server) && wanted(&server)) {
+        if !ids().any(|server| serves(&server) && reachable(&server) && accepting(&server)) {
             return Some(Kind::Paused);
         }
-        if !ids().any(|server| serves(&server) && reached(&server) && wanted(&server) && granted(&server)) {
+        if !ids().any(|server| serves(&server) && reachable(&server) && accepting(&server) && granted(&server)) {
             return Some(Kind::LinkFull);
         }
         None
     }
 
     /// Until when a request waits for a server.
-    pub(super) fn latest(&self, state: &Request) -> Time {
+    pub(super) fn wait_deadline(&self, state: &Request) -> Time {
         let target = state.arrived + self.classes[state.class].spec.target;
         if state.object.is_some() { target.min(state.deadline) } else { state.deadline }
     }
 
     /// Whether we may use the region of a server at all.
-    fn granted(&self, place: Place) -> bool {
+    fn remote_granted(&self, place: Place) -> bool {
         let Place::Remote(region) = place else { return true };
-        self.channels.get(&region).is_some_and(|channel| channel.limit > 0)
+        self.links.get(&region).is_some_and(|link| link.max_in_flight > 0)
     }
 
     fn pick_tier(&mut self, service: usize, tier: usize, state: &Request, now: Time) -> Option<BackendId> {
@@ -233,7 +235,7 @@
         }
         let mut best: Option<(f64, BackendId)> = None;
         let mut compared = 0;
-        for _ in 0..SAMPLES {
+        for _ in 0..MAX_SAMPLES {
             let id = members[self.rng.usize(..members.len())];
             // A server is not compared with itself.
             if best.is_some_and(|(_, known)| known == id) {
@@ -246,7 +248,7 @@
         }
         if best.is_none() {
             let start = self.rng.usize(..members.len());
-            let scanned = members.iter().cycle().skip(start).take(members.len().min(SCANNED));
+            let scanned = members.iter().cycle().skip(start).take(members.len().min(MAX_SCANNED));
             for id in scanned {
                 self.consider(*id, state, now, &mut best);
             }
@@ -262,8 +264,8 @@
         if !self.usable(server, state, now) {
             return false;
         }
-        let distance = if server.spec.place == Place::Region { DOMAIN_COST } else { 0.0 };
-        let score = (server.load(now) + 1.0) * server.latency_ratio() + distance;
+        let domain_cost = if server.spec.place == Place::Region { DOMAIN_COST } else { 0.0 };
+        let score = (server.load(now) + 1.0) * server.latency_ratio() + domain_cost;
         if best.is_none_or(|(lowest, _)| score < lowest) {
             *best = Some((score, id));
         }
@@ -274,7 +276,7 @@
         if server.leaving() || server.unavailable(now) || server.in_flight >= server.limit() {
             return false;
         }
-        if state.barred.contains(&server.spec.id) || !server.admits(now) {
+        if state.excluded.contains(&server.spec.id) || !server.admits(now) {
             return false;
         }
         let spec = &self.classes[state.class].spec;
@@ -282,22 +284,22 @@
             return false;
         }
         // A server on trial gets nothing that must not run twice.
-        if server.suspect() && !spec.idempotent && self.others_usable(server, now) {
+        if server.suspect() && !spec.idempotent && self.has_healthy_alternative(server, now) {
             return false;
         }
-        if !self.channel_open(server.spec.place, state, now) {
+        if !self.link_has_capacity(server.spec.place, state, now) {
             return false;
         }
         let slots = f64::from(server.spec.slots);
         if spec.may_wait {
-            return self.takes_waiting(server, state, now);
+            return self.accepts_waiting_work(server, state, now);
         }
         let load = server.load(now);
-        load < slots || (server.in_flight == 0 && load < slots + OVERBOOKED)
+        load < slots || (server.in_flight == 0 && load < slots + OVERBOOKING)
     }
 
     /// Waiting work takes one slot of a server that it is dealt, and leaves one free unless it has aged.
-    fn takes_waiting(&self, server: &Backend, state: &Request, now: Time) -> bool {
+    fn accepts_waiting_work(&self, server: &Backend, state: &Request, now: Time) -> bool {
         if server.waiting_in_flight > 0 {
             return false;
         }
@@ -310,7 +312,7 @@
         load + 1.0 < slots || (aged && load < slots)
     }
 
-    fn others_usable(&self, server: &Backend, now: Time) -> bool {
+    fn has_healthy_alternative(&self, server: &Backend, now: Time) -> bool {
         let Some(tiers) = self.tiers.get(usize::from(server.spec.service)) else {
             return false;
         };
@@ -336,33 +338,34 @@
         if self.classes[state.class].spec.may_wait {
             return false;
         }
-        now.since(state.arrived) >= REMOTE_WORTH || self.expected_wait(state.class) >= REMOTE_WORTH
+        now.since(state.arrived) >= REMOTE_WAIT_THRESHOLD || self.expected_wait(state.class) >= REMOTE_WAIT_THRESHOLD
     }
 
     /// Whether the link and the other region have room within our share. Answers of a class that none was seen of may
     /// be of any size, so they cross a link with a cap one by one.
-    pub(super) fn channel_open(&self, place: Place, state: &Request, now: Time) -> bool {
+    pub(super) fn link_has_capacity(&self, place: Place, state: &Request, now: Time) -> bool {
         let Place::Remote(region) = place else { return true };
-        let Some(channel) = self.channels.get(&region) else {
+        let Some(link) = self.links.get(&region) else {
             return false;
         };
         let class = &self.classes[state.class];
-        if !class.sized() && !channel.open && channel.unsized_in_flight > 0 {
+        if !class.answer_size_known() && !link.uncapped && link.unsized_in_flight > 0 {
             return false;
         }
-        let most = class.size().max(state.bytes as f64);
-        channel.in_flight < channel.limit && channel.bucket.clone().level(now) >= most
+        let bytes = class.answer_size().max(state.bytes as f64);
+        link.in_flight < link.max_in_flight && link.bucket.clone().level(now) >= bytes
     }
 
     /// Takes the link's bytes of an attempt in advance, by the busier direction.
-    fn reserve(&mut self, place: Place, class: usize, bytes: f64, now: Time) -> Option<Reserve> {
+    fn reserve_link(&mut self, place: Place, class: usize, bytes: f64, now: Time) -> Option<Reservation> {
         let Place::Remote(region) = place else { return None };
-        let channel = self.channels.get_mut(&region)?;
+        let link = self.links.get_mut(&region)?;
         let class = &self.classes[class];
-        let reserve = Reserve { region, bytes: bytes.max(class.size()), sized: class.sized() };
-        channel.in_flight += 1;
-        channel.unsized_in_flight += u32::from(!reserve.sized);
-        channel.bucket.charge(reserve.bytes, now);
-        Some(reserve)
+        let reservation =
+            Reservation { region, bytes: bytes.max(class.answer_size()), answer_size_known: class.answer_size_known() };
+        link.in_flight += 1;
+        link.unsized_in_flight += u32::from(!reservation.answer_size_known);
+        link.bucket.charge(reservation.bytes, now);
+        Some(reservation)
     }
 }
--- a/crates/dispatch/src/engine/queue.rs
+++ b/crates/dispatch/src/engine/queue.rs
@@ -5,16 +5,16 @@
 use base::error::Kind;
 use base::time::Time;
 
-use super::{Engine, LOOK_AGAIN, LOOK_AT_HELD, Timer};
+use super::{Engine, HELD_RECHECK_INTERVAL, RECHECK_INTERVAL, Timer};
 use crate::backend::BackendId;
 
 impl Engine {
     /// Why a request of `class` cannot be taken at all; makes room for it if it comes before others.
-    pub(super) fn refusal(&mut self, class: usize, fingerprint: u64, now: Time) -> Option<Kind> {
+    pub(super) fn admission_error(&mut self, class: usize, fingerprint: u64, now: Time) -> Option<Kind> {
         if self.stopping {
             return Some(Kind::Leaving);
         }
-        if self.quarantine.refuses(fingerprint, now) {
+        if self.quarantine.is_quarantined(fingerprint, now) {
             return Some(Kind::Poisoned);
         }
         if self.queued >= self.limits.max_queued && !self.displace(class, now) {
@@ -27,14 +27,14 @@
     }
 
     /// Puts a request into its queue: first if it was tried before.
-    pub(super) fn enqueue(&mut self, request: u64, first: bool) {
+    pub(super) fn enqueue(&mut self, request: u64, at_front: bool) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
         state.queued = true;
         self.queued += 1;
         let queue = &mut self.classes[state.class].queue;
-        if first {
+        if at_front {
             queue.push_front(request);
         } else {
             queue.push_back(request);
@@ -42,32 +42,32 @@
     }
 
     /// Starts what can be started, in the order of loss, aged waiting work first.
-    pub(super) fn pump(&mut self, now: Time) {
-        self.pump_freed(None, now);
+    pub(super) fn dispatch_waiting(&mut self, now: Time) {
+        self.dispatch_waiting_for(None, now);
     }
 
     /// The same after `freed` alone got room, if it is named: what waits for other servers is not looked at.
-    pub(super) fn pump_freed(&mut self, freed: Option<BackendId>, now: Time) {
+    pub(super) fn dispatch_waiting_for(&mut self, freed: Option<BackendId>, now: Time) {
         if self.held() > 0 {
-            self.pump_held(freed, now);
+            self.dispatch_held(freed, now);
             if self.held() > 0 {
-                self.look_again(now);
+                self.schedule_recheck(now);
             }
         }
         if self.queued == 0 {
             return;
         }
-        for index in 0..self.order.len() {
-            let class = self.order[index];
+        for index in 0..self.priority_order.len() {
+            let class = self.priority_order[index];
             if self.head_aged(class, now) {
-                self.pump_class(class, now);
+                self.dispatch_class(class, now);
             }
         }
-        for index in 0..self.order.len() {
-            self.pump_class(self.order[index], now);
+        for index in 0..self.priority_order.len() {
+            self.dispatch_class(self.priority_order[index], now);
         }
         if self.queued > 0 {
-            self.look_again(now);
+            self.schedule_recheck(now);
         }
     }
 
@@ -76,23 +76,23 @@
         let class = &self.classes[class];
         let ahead = class.queue.len() as u32;
         let running = class.in_flight.max(1);
-        class.typical() * ahead / running
+        class.typical_latency() * ahead / running
     }
 
-    pub(super) fn pump_class(&mut self, class: usize, now: Time) {
+    pub(super) fn dispatch_class(&mut self, class: usize, now: Time) {
         while let Some(request) = self.classes[class].queue.front().copied() {
             if self.attempts.len() >= self.limits.max_in_flight {
                 return;
             }
-            if self.hopeless(request, now) {
+            if self.cannot_finish(request, now) {
                 self.refuse(request, Kind::WontFinish, now);
                 continue;
             }
             let Some(backend) = self.pick(request, now) else {
-                if self.pardon(request, now) {
+                if self.reinstate_slow(request, now) {
                     continue;
                 }
-                match self.impossible(request) {
+                match self.unplaceable(request) {
                     Some(kind) => self.refuse(request, kind, now),
                     None => return,
                 }
@@ -108,12 +108,12 @@
     }
 
     /// Whether a request that was never sent cannot finish any more.
-    fn hopeless(&self, request: u64, now: Time) -> bool {
+    fn cannot_finish(&self, request: u64, now: Time) -> bool {
         let Some(state) = self.requests.get(&request) else {
             return false;
         };
-        let half = self.classes[state.class].typical() / 2;
-        now + half > state.deadline
+        let half_latency = self.classes[state.class].typical_latency() / 2;
+        now + half_latency > state.deadline
     }
 
     fn head_aged(&self, class: usize, now: Time) -> bool {
@@ -125,8 +125,9 @@
     /// Drops the newest waiting request of a class that is lost before `class`; says whether it did.
     fn displace(&mut self, class: usize, now: Time) -> bool {
         let rank = self.classes[class].spec.rank;
-        let worse = |index: &&usize| self.classes[**index].spec.rank > rank && !self.classes[**index].queue.is_empty();
-        let Some(victim) = self.order.iter().rev().find(worse).copied() else {
+        let lower_priority =
+            |index: &&usize| self.classes[**index].spec.rank > rank && !self.classes[**index].queue.is_empty();
+        let Some(victim) = self.priority_order.iter().rev().find(lower_priority).copied() else {
             return false;
         };
         let Some(request) = self.classes[victim].queue.back().copied() else {
@@ -137,11 +138,11 @@
     }
 
     /// Plans a look at what waits: other daemons' work ends without our knowing.
-    pub(super) fn look_again(&mut self, now: Time) {
-        if self.looking.is_none() {
-            let next = now + if self.queued > 0 { LOOK_AGAIN } else { LOOK_AT_HELD };
-            self.looking = Some(next);
-            self.timers.insert((next, Timer::Look));
+    pub(super) fn schedule_recheck(&mut self, now: Time) {
+        if self.recheck_at.is_none() {
+            let at = now + if self.queued > 0 { RECHECK_INTERVAL } else { HELD_RECHECK_INTERVAL };
+            self.recheck_at = Some(at);
+            self.timers.insert((at, Timer::Recheck));
         }
     }
 }
--- a/crates/dispatch/src/engine/state.rs
+++ b/crates/dispatch/src/engine/state.rs
@@ -19,16 +19,16 @@
     pub(super) arrived: Time,
     pub(super) deadline: Time,
     /// Attempts so far.
-    pub(super) tries: usize,
+    pub(super) attempts: usize,
     /// Servers that must not get it again: they failed it, or run it now.
-    pub(super) barred: Vec<BackendId>,
+    pub(super) excluded: Vec<BackendId>,
     pub(super) live: Vec<u64>,
     pub(super) hedged: bool,
     pub(super) queued: bool,
     /// Whether the server that shed it last had a slot free.
-    pub(super) shed_with_room: bool,
+    pub(super) shed_with_free_slot: bool,
     /// Set once an attempt may have run; the final error must then be an unknown outcome.
-    pub(super) touched: Option<Kind>,
+    pub(super) may_have_run: Option<Kind>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -38,37 +38,37 @@
     /// Whether the server had handled the request's object lately; `None` for a request about none.
     pub(super) warm: Option<bool>,
     /// Whether a slot was free there, as far as known, and its pace.
-    pub(super) free: bool,
+    pub(super) had_free_slot: bool,
     pub(super) pace: f64,
     pub(super) backend: BackendId,
     pub(super) started: Time,
     pub(super) late_at: Time,
     pub(super) late: bool,
-    pub(super) reserved: Option<Reserve>,
+    pub(super) reserved: Option<Reservation>,
 }
 
 /// What an attempt took of a link in advance.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Reserve {
+pub(super) struct Reservation {
     pub(super) region: u16,
     pub(super) bytes: f64,
     /// Whether an answer of the class had been seen.
-    pub(super) sized: bool,
+    pub(super) answer_size_known: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Late(u64),
     Deadline(u64),
-    Look,
+    Recheck,
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct Channel {
-    pub(super) limit: u32,
+pub(super) struct Link {
+    pub(super) max_in_flight: u32,
     pub(super) in_flight: u32,
     /// Whether the link has no cap.
-    pub(super) open: bool,
+    pub(super) uncapped: bool,
     /// Attempts in flight whose answers may be of any size.
     pub(super) unsized_in_flight: u32,
     pub(super) bucket: rate::Bucket,
--- a/crates/dispatch/src/engine/waiting.rs
+++ b/crates/dispatch/src/engine/waiting.rs
@@ -14,16 +14,16 @@
 use crate::backend::{Backend, BackendId};
 
 /// Requests of one service that wait at most.
-const HELD: usize = 256;
+const MAX_HELD: usize = 256;
 /// Earliest time at which a caller that was refused for want of room should come back.
-const RETURN: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Time over which the callers that were refused together should come back.
-const SPREAD: Duration = Duration::from_millis(500);
+const RETRY_SPREAD: Duration = Duration::from_millis(500);
 /// Part of the time to the end of a pause, beyond it, over which callers that were refused for it should come back.
-const SPREAD_PAST_PAUSE: f64 = 0.5;
+const PAUSE_SPREAD_RATIO: f64 = 0.5;
 /// The same for a caller whose request was refused by a server that had room: waiting makes no room there.
-const RETURN_TO_ROOM: Duration = Duration::from_millis(10);
-const SPREAD_TO_ROOM: Duration = Duration::from_millis(30);
+const FREE_SLOT_RETRY_DELAY: Duration = Duration::from_millis(10);
+const FREE_SLOT_RETRY_SPREAD: Duration = Duration::from_millis(30);
 
 impl Engine {
     /// Sends a request about an object to a home that takes it, or lets it wait for one.
@@ -31,24 +31,24 @@
         if let Some(backend) = self.pick(request, now) {
             return self.start(request, backend, now);
         }
-        if self.pardon(request, now)
+        if self.reinstate_slow(request, now)
             && let Some(backend) = self.pick(request, now)
         {
             return self.start(request, backend, now);
         }
-        if let Some(kind) = self.impossible(request) {
+        if let Some(kind) = self.unplaceable(request) {
             return self.refuse(request, kind, now);
         }
         let Some(service) = self.requests.get(&request).map(|state| state.service) else {
             return;
         };
         let held = self.held.entry(service).or_default();
-        if held.len() >= HELD {
+        if held.len() >= MAX_HELD {
             return self.refuse(request, Kind::QueueFull, now);
         }
         held.push(request);
-        self.note_held(request, now);
-        self.look_again(now);
+        self.record_held(request, now);
+        self.schedule_recheck(now);
     }
 
     /// Requests that wait for a home.
@@ -58,14 +58,14 @@
 
     /// Sends what a home takes now, in the order of loss, and refuses what has waited for too long; of what waits for
     /// `freed` alone, if it is named.
-    pub(super) fn pump_held(&mut self, freed: Option<BackendId>, now: Time) {
+    pub(super) fn dispatch_held(&mut self, freed: Option<BackendId>, now: Time) {
         let services: Vec<u16> = self.held.iter().filter(|(_, held)| !held.is_empty()).map(|(id, _)| *id).collect();
         for service in services {
             let held = self.held.remove(&service).unwrap_or_default();
-            let concerned = |request: &u64| freed.is_none_or(|server| self.waits_for(*request, server));
-            let (mut tried, mut kept): (Vec<u64>, Vec<u64>) = held.into_iter().partition(concerned);
-            tried.sort_by_key(|request| self.order_of(*request));
-            kept.extend(tried.into_iter().filter(|request| self.stays(*request, now)));
+            let affected = |request: &u64| freed.is_none_or(|server| self.waits_for(*request, server));
+            let (mut candidates, mut kept): (Vec<u64>, Vec<u64>) = held.into_iter().partition(affected);
+            candidates.sort_by_key(|request| self.held_order(*request));
+            kept.extend(candidates.into_iter().filter(|request| self.keep_waiting(*request, now)));
             self.held.entry(service).or_default().extend(kept);
         }
     }
@@ -76,7 +76,7 @@
     }
 
     /// Tries to send or refuse a request that waits; says whether it goes on waiting.
-    fn stays(&mut self, request: u64, now: Time) -> bool {
+    fn keep_waiting(&mut self, request: u64, now: Time) -> bool {
         if !self.requests.contains_key(&request) {
             return false;
         }
@@ -84,24 +84,24 @@
             self.start(request, backend, now);
             return false;
         }
-        if self.hopeless_here(request, now) {
+        if self.wait_exhausted(request, now) {
             self.refuse(request, Kind::WontFinish, now);
             return false;
         }
-        if now < self.pauses_end && self.impossible(request) == Some(Kind::Paused) {
+        if now < self.last_pause_end && self.unplaceable(request) == Some(Kind::Paused) {
             self.refuse(request, Kind::Paused, now);
             return false;
         }
         true
     }
 
-    fn order_of(&self, request: u64) -> (u8, Time) {
+    fn held_order(&self, request: u64) -> (u8, Time) {
         let state = self.requests.get(&request);
         state.map_or((u8::MAX, Time::MAX), |state| (self.classes[state.class].spec.rank, state.arrived))
     }
 
     /// Whether a request has waited as long as it may, or could not be answered any more.
-    fn hopeless_here(&self, request: u64, now: Time) -> bool {
+    fn wait_exhausted(&self, request: u64, now: Time) -> bool {
         let Some(state) = self.requests.get(&request) else {
             return true;
         };
@@ -114,27 +114,27 @@
         let spec = &self.classes[state.class].spec;
         let servers = self.tiers.get(usize::from(state.service)).into_iter().flatten().flatten();
         let serving = servers.filter_map(|id| self.backends.get(id)).filter(|server| !server.leaving());
-        serving.filter(|server| spec.allows(server.spec.region)).map(Backend::back).min()
+        serving.filter(|server| spec.allows(server.spec.region)).map(Backend::available_at).min()
     }
 
     /// When a caller that is refused for `kind` should come back, if the kind's usual time is too coarse; `pause_end` is
     /// when servers take its work again.
-    pub(super) fn return_after(
+    pub(super) fn retry_after(
         &mut self,
         kind: Kind,
-        room: bool,
+        free_slot: bool,
         pause_end: Option<Time>,
         now: Time,
     ) -> Option<Duration> {
         match kind {
             Kind::Paused => {
                 let left = pause_end.unwrap_or(now).since(now);
-                let spread = SPREAD + left.mul_f64(SPREAD_PAST_PAUSE);
+                let spread = RETRY_SPREAD + left.mul_f64(PAUSE_SPREAD_RATIO);
                 Some(left + spread.mul_f64(self.rng.f64()))
             }
-            Kind::Shed if room => Some(RETURN_TO_ROOM + SPREAD_TO_ROOM.mul_f64(self.rng.f64())),
+            Kind::Shed if free_slot => Some(FREE_SLOT_RETRY_DELAY + FREE_SLOT_RETRY_SPREAD.mul_f64(self.rng.f64())),
             Kind::QueueFull | Kind::WontFinish | Kind::Shed | Kind::Expired => {
-                Some(RETURN + SPREAD.mul_f64(self.rng.f64()))
+                Some(RETRY_DELAY + RETRY_SPREAD.mul_f64(self.rng.f64()))
             }
             _ => None,
         }
--- a/crates/dispatch/src/engine/world.rs
+++ b/crates/dispatch/src/engine/world.rs
@@ -6,7 +6,7 @@
 use base::rate;
 use base::time::Time;
 
-use super::state::{Channel, Timer};
+use super::state::{Link, Timer};
 use super::{Budgets, Decision, Engine, Remote, pick};
 use crate::backend::{Backend, BackendId, Place, Report, Spec};
 use crate::class::{self, Class};
@@ -16,12 +16,12 @@
     pub fn set_classes(&mut self, specs: Vec<class::Spec>) {
         for (index, spec) in specs.into_iter().enumerate() {
             match self.classes.get_mut(index) {
-                Some(class) => class.declare(spec),
+                Some(class) => class.update_spec(spec),
                 None => self.classes.push(Class::new(spec)),
             }
         }
-        self.order = (0..self.classes.len()).collect();
-        self.order.sort_by_key(|index| (self.classes[*index].spec.rank, *index));
+        self.priority_order = (0..self.classes.len()).collect();
+        self.priority_order.sort_by_key(|index| (self.classes[*index].spec.rank, *index));
     }
 
     /// Takes the backend servers in use; those known keep what was seen of them.
@@ -31,39 +31,39 @@
             let known = self.backends.remove(&spec.id);
             let mut backend = match known {
                 Some(mut backend) => {
-                    backend.declare(spec, now);
+                    backend.update_spec(spec, now);
                     backend
                 }
                 None => Backend::new(spec, now),
             };
-            backend.hear(self.words.get(backend.spec.id), now);
+            backend.apply_announcement(self.announcements.get(backend.spec.id), now);
             kept.insert(backend.spec.id, backend);
         }
-        for (id, mut gone) in std::mem::take(&mut self.backends) {
-            if gone.in_flight > 0 {
-                gone.spec.leaving = true;
-                kept.insert(id, gone);
+        for (id, mut removed) in std::mem::take(&mut self.backends) {
+            if removed.in_flight > 0 {
+                removed.spec.leaving = true;
+                kept.insert(id, removed);
             }
         }
-        self.warmth.keep(|id| kept.contains_key(&id));
+        self.warmth.retain(|id| kept.contains_key(&id));
         self.backends = kept;
-        self.index();
-        self.pump(now);
+        self.rebuild_tiers();
+        self.dispatch_waiting(now);
     }
 
     /// Sets what may be used of another region and the link to it.
     pub fn set_remote(&mut self, region: u16, remote: Remote, now: Time) {
         let burst = (remote.bytes_per_second * pick::LINK_BURST.as_secs_f64()).max(0.0);
-        let channel = self.channels.entry(region).or_insert_with(|| Channel {
-            limit: 0,
+        let link = self.links.entry(region).or_insert_with(|| Link {
+            max_in_flight: 0,
             in_flight: 0,
-            open: remote.is_uncapped(),
+            uncapped: remote.is_uncapped(),
             unsized_in_flight: 0,
             bucket: rate::Bucket::new(remote.bytes_per_second, burst, now),
         });
-        channel.limit = remote.max_in_flight;
-        channel.open = remote.is_uncapped();
-        channel.bucket.set_rate(remote.bytes_per_second, burst, now);
+        link.max_in_flight = remote.max_in_flight;
+        link.uncapped = remote.is_uncapped();
+        link.bucket.set_rate(remote.bytes_per_second, burst, now);
     }
 
     /// Changes how much extra work may be caused from now on.
@@ -88,51 +88,51 @@
         if let Some(backend) = self.backends.get_mut(&backend) {
             backend.report(report);
         }
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 
     /// A backend server said that it leaves, to us or to a peer; says whether that is news. What waits for it goes
     /// elsewhere.
     pub fn record_leaving(&mut self, backend: BackendId, until: Time, now: Time) -> bool {
-        if !self.words.leave(backend, until, now) {
+        if !self.announcements.record_leaving(backend, until, now) {
             return false;
         }
         let Some(server) = self.backends.get_mut(&backend) else {
             return true;
         };
-        let news = !server.leaving();
-        server.hear(self.words.get(backend), now);
-        if news {
-            self.notes.push(Decision::Leaving { backend });
-            self.index();
-            self.pump(now);
+        let is_new = !server.leaving();
+        server.apply_announcement(self.announcements.get(backend), now);
+        if is_new {
+            self.decisions.push(Decision::Leaving { backend });
+            self.rebuild_tiers();
+            self.dispatch_waiting(now);
         }
-        news
+        is_new
     }
 
     /// A backend server that turned a request away wants nothing from us for `pause`.
     pub fn record_pause(&mut self, backend: BackendId, pause: Duration, now: Time) {
-        self.words.pause(backend, pause, now);
+        self.announcements.record_pause(backend, pause, now);
         if let Some(server) = self.backends.get_mut(&backend) {
-            server.hear(self.words.get(backend), now);
-            self.pauses_end = self.pauses_end.max(server.paused_until());
-            self.notes.push(Decision::Paused { backend, until: server.paused_until() });
+            server.apply_announcement(self.announcements.get(backend), now);
+            self.last_pause_end = self.last_pause_end.max(server.paused_until());
+            self.decisions.push(Decision::Paused { backend, until: server.paused_until() });
         }
     }
 
     /// The backend servers that said that they leave.
     pub fn leaving_backends(&self, now: Time) -> impl Iterator<Item = BackendId> {
-        self.words.leaving(now)
+        self.announcements.leaving(now)
     }
 
     /// The process stood still for `stood`, so what is believed of servers may not hold any more: nothing is sent until
     /// `until`, or until it is trusted again. Servers are not blamed for that time.
-    pub fn suspend(&mut self, stood: Duration, until: Time) {
-        self.doubted_until = self.doubted_until.max(until);
+    pub fn suspend(&mut self, stall: Duration, until: Time) {
+        self.suspended_until = self.suspended_until.max(until);
         for (number, attempt) in &mut self.attempts {
-            attempt.started = attempt.started + stood;
+            attempt.started = attempt.started + stall;
             if self.timers.remove(&(attempt.late_at, Timer::Late(*number))) {
-                attempt.late_at = attempt.late_at + stood;
+                attempt.late_at = attempt.late_at + stall;
                 self.timers.insert((attempt.late_at, Timer::Late(*number)));
             }
         }
@@ -140,19 +140,19 @@
 
     /// What is believed holds: sends what has waited.
     pub fn resume(&mut self, now: Time) {
-        self.doubted_until = Time::ZERO;
-        self.pump(now);
+        self.suspended_until = Time::ZERO;
+        self.dispatch_waiting(now);
     }
 
     /// Whether a request may still be sent to `backend`: what was decided a moment ago may not hold any more.
     pub fn may_send(&self, backend: BackendId, now: Time) -> bool {
-        let trusted = now >= self.doubted_until;
-        trusted && self.backends.get(&backend).is_some_and(|server| !server.leaving() && !server.paused(now))
+        let confirmed = now >= self.suspended_until;
+        confirmed && self.backends.get(&backend).is_some_and(|server| !server.leaving() && !server.paused(now))
     }
 
     /// Takes in losses that peers saw; gives those that were news, to be passed on.
     pub fn merge_losses(&mut self, losses: &[(u64, u64)], now: Time) -> Vec<(u64, u64)> {
-        losses.iter().filter(|(fingerprint, loss)| self.note_poison(*fingerprint, *loss, now)).copied().collect()
+        losses.iter().filter(|(fingerprint, loss)| self.apply_loss(*fingerprint, *loss, now)).copied().collect()
     }
 
     /// The losses for which requests with `fingerprint` are refused; none if they are not.
@@ -165,13 +165,14 @@
         std::mem::take(&mut self.losses)
     }
 
-    fn index(&mut self) {
-        let services = self.backends.values().map(|backend| backend.spec.service).max().map_or(0, |most| most + 1);
+    fn rebuild_tiers(&mut self) {
+        let services =
+            self.backends.values().map(|backend| backend.spec.service).max().map_or(0, |highest| highest + 1);
         self.tiers = vec![[Vec::new(), Vec::new()]; usize::from(services)];
         for (id, backend) in &self.backends {
             let tier = usize::from(matches!(backend.spec.place, Place::Remote(_)));
             self.tiers[usize::from(backend.spec.service)][tier].push(*id);
         }
-        self.near_parts = (0..self.tiers.len()).map(|service| self.near_part(service)).collect();
+        self.near_shares = (0..self.tiers.len()).map(|service| self.near_share(service)).collect();
     }
 }
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -9,87 +9,89 @@
 use base::time::Time;
 
 /// Losses after which a fingerprint is refused.
-pub const LOSSES: usize = 2;
+pub const QUARANTINE_THRESHOLD: usize = 2;
 /// Time after a whole answer during which losses are not counted: what was answered lately crashes nobody, and what
 /// many callers ask for is under way whenever a server goes away.
-const INNOCENT: Duration = Duration::from_secs(10);
+const CLEARED_FOR: Duration = Duration::from_secs(10);
 /// Fingerprints remembered at most; the oldest go first.
-const MOST: usize = 4_096;
+const MAX_ENTRIES: usize = 4_096;
 
 #[derive(Debug, Clone, Default)]
 struct Record {
     losses: BTreeSet<u64>,
-    seen: Time,
+    last_loss: Time,
 }
 
 /// Losses by fingerprint.
 #[derive(Debug, Clone)]
 pub struct Quarantine {
-    kept: Duration,
+    retention: Duration,
     records: BTreeMap<u64, Record>,
     /// When each fingerprint was answered whole last.
-    answered: BTreeMap<u64, Time>,
+    answered_at: BTreeMap<u64, Time>,
 }
 
 impl Quarantine {
     /// Remembers each loss for `kept`.
-    pub const fn new(kept: Duration) -> Self {
-        Self { kept, records: BTreeMap::new(), answered: BTreeMap::new() }
+    pub const fn new(retention: Duration) -> Self {
+        Self { retention, records: BTreeMap::new(), answered_at: BTreeMap::new() }
     }
 
     /// Notes that the loss with the unique number `loss` happened to `fingerprint`; says whether that is news
     /// that counts.
-    pub fn note(&mut self, fingerprint: u64, loss: u64, now: Time) -> bool {
-        self.forget(now);
-        if self.answered.get(&fingerprint).is_some_and(|at| now.since(*at) < INNOCENT) {
+    pub fn record_loss(&mut self, fingerprint: u64, loss: u64, now: Time) -> bool {
+        self.evict(now);
+        if self.answered_at.get(&fingerprint).is_some_and(|at| now.since(*at) < CLEARED_FOR) {
             return false;
         }
         let record = self.records.entry(fingerprint).or_default();
-        let news = record.losses.insert(loss);
-        if news {
-            record.seen = now;
+        let is_new = record.losses.insert(loss);
+        if is_new {
+            record.last_loss = now;
         }
-        news
+        is_new
     }
 
     /// A request with `fingerprint` was answered whole: its losses were not its doing.
     pub fn clear(&mut self, fingerprint: u64, now: Time) {
         self.records.remove(&fingerprint);
-        if self.answered.len() >= MOST {
-            self.answered.retain(|_, at| now.since(*at) < INNOCENT);
+        if self.answered_at.len() >= MAX_ENTRIES {
+            self.answered_at.retain(|_, at| now.since(*at) < CLEARED_FOR);
         }
-        if self.answered.len() >= MOST {
-            self.answered.clear();
+        if self.answered_at.len() >= MAX_ENTRIES {
+            self.answered_at.clear();
         }
-        self.answered.insert(fingerprint, now);
+        self.answered_at.insert(fingerprint, now);
     }
 
     /// Whether `fingerprint` is refused.
-    pub fn refuses(&self, fingerprint: u64, now: Time) -> bool {
+    pub fn is_quarantined(&self, fingerprint: u64, now: Time) -> bool {
         let record = self.records.get(&fingerprint);
-        record.is_some_and(|record| record.losses.len() >= LOSSES && now.since(record.seen) < self.kept)
+        record.is_some_and(|record| {
+            record.losses.len() >= QUARANTINE_THRESHOLD && now.since(record.last_loss) < self.retention
+        })
     }
 
     /// The losses for which `fingerprint` is refused; none if it is not.
     pub fn losses(&self, fingerprint: u64, now: Time) -> Vec<(u64, u64)> {
-        let refused = self.refuses(fingerprint, now);
-        let record = self.records.get(&fingerprint).filter(|_| refused);
+        let quarantined = self.is_quarantined(fingerprint, now);
+        let record = self.records.get(&fingerprint).filter(|_| quarantined);
         record.into_iter().flat_map(|record| &record.losses).map(|loss| (fingerprint, *loss)).collect()
     }
 
     /// Fingerprints refused.
-    pub fn refused(&self, now: Time) -> usize {
-        self.records.keys().filter(|fingerprint| self.refuses(**fingerprint, now)).count()
+    pub fn count(&self, now: Time) -> usize {
+        self.records.keys().filter(|fingerprint| self.is_quarantined(**fingerprint, now)).count()
     }
 
-    fn forget(&mut self, now: Time) {
-        if self.records.len() < MOST {
+    fn evict(&mut self, now: Time) {
+        if self.records.len() < MAX_ENTRIES {
             return;
         }
-        let kept = self.kept;
-        self.records.retain(|_, record| now.since(record.seen) < kept);
-        if self.records.len() >= MOST {
-            let oldest = self.records.iter().min_by_key(|(_, record)| record.seen).map(|(key, _)| *key);
+        let retention = self.retention;
+        self.records.retain(|_, record| now.since(record.last_loss) < retention);
+        if self.records.len() >= MAX_ENTRIES {
+            let oldest = self.records.iter().min_by_key(|(_, record)| record.last_loss).map(|(key, _)| *key);
             oldest.map(|key| self.records.remove(&key));
         }
     }
--- a/crates/dispatch/src/samples.rs
+++ b/crates/dispatch/src/samples.rs
@@ -4,33 +4,33 @@
 use std::time::Duration;
 
 /// Times kept.
-const KEPT: usize = 128;
+const MAX_TIMES: usize = 128;
 /// Times between two computations of the median.
-const REFRESH: usize = 16;
+const REFRESH_INTERVAL: usize = 16;
 
 /// Recent times and their median.
 #[derive(Debug, Clone)]
 pub struct Samples {
     times: VecDeque<u32>,
-    fresh: usize,
+    since_refresh: usize,
     median: Duration,
 }
 
 impl Samples {
     /// No times; the median is taken to be `first` until there are some.
     pub const fn new(first: Duration) -> Self {
-        Self { times: VecDeque::new(), fresh: 0, median: first }
+        Self { times: VecDeque::new(), since_refresh: 0, median: first }
     }
 
     /// Takes in a time.
-    pub fn note(&mut self, time: Duration) {
-        if self.times.len() == KEPT {
+    pub fn record(&mut self, time: Duration) {
+        if self.times.len() == MAX_TIMES {
             self.times.pop_front();
         }
         self.times.push_back(time.as_micros().min(u128::from(u32::MAX)) as u32);
-        self.fresh += 1;
-        if self.fresh >= REFRESH || self.times.len() < REFRESH {
-            self.fresh = 0;
+        self.since_refresh += 1;
+        if self.since_refresh >= REFRESH_INTERVAL || self.times.len() < REFRESH_INTERVAL {
+            self.since_refresh = 0;
             self.median = self.compute();
         }
     }
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -8,13 +8,13 @@
 /// Whether `daemon` uses `backend`, when each backend server is used by at most `most` of `daemons`.
 ///
 /// Ranks the daemons by a hash with the backend server; the first `most` use it.
-pub fn uses(daemon: u64, daemons: &[u64], backend: u64, most: usize) -> bool {
-    if daemons.len() <= most {
+pub fn uses(daemon: u64, daemons: &[u64], backend: u64, limit: usize) -> bool {
+    if daemons.len() <= limit {
         return true;
     }
     let own = hash::pair(backend, daemon);
-    let better = daemons.iter().filter(|other| hash::pair(backend, **other) > own).count();
-    better < most
+    let ranked_higher = daemons.iter().filter(|other| hash::pair(backend, **other) > own).count();
+    ranked_higher < limit
 }
 
 /// The part of what `backend` bears while it starts that `daemon` may send it, when `starters` daemons send it work; and
@@ -44,8 +44,8 @@
     let mut order: Vec<usize> = (0..backends.len()).collect();
     order.sort_unstable_by_key(|index| backends[*index]);
     let mut hosted = vec![false; backends.len()];
-    for (turn, index) in order.into_iter().enumerate() {
-        hosted[index] = turn % sorted.len() == own;
+    for (position, index) in order.into_iter().enumerate() {
+        hosted[index] = position % sorted.len() == own;
     }
     hosted
 }
--- a/crates/dispatch/src/warmth.rs
+++ b/crates/dispatch/src/warmth.rs
@@ -5,7 +5,7 @@
 use crate::backend::BackendId;
 
 /// Objects that a server is trusted to keep warm.
-const KEPT: usize = 32;
+const MAX_OBJECTS: usize = 32;
 
 /// Objects by server, the latest handled last.
 #[derive(Debug, Clone, Default)]
@@ -25,7 +25,7 @@
         let known = objects.iter().position(|known| *known == object);
         if let Some(position) = known {
             objects.remove(position);
-        } else if objects.len() == KEPT {
+        } else if objects.len() == MAX_OBJECTS {
             objects.pop_front();
         }
         objects.push_back(object);
@@ -43,7 +43,7 @@
     }
 
     /// Forgets the servers that are not in use any more.
-    pub fn keep(&mut self, in_use: impl Fn(BackendId) -> bool) {
+    pub fn retain(&mut self, in_use: impl Fn(BackendId) -> bool) {
         self.servers.retain(|server, _| in_use(*server));
     }
 }
--- a/crates/dispatch/tests/announcements.rs
+++ b/crates/dispatch/tests/announcements.rs
@@ -162,13 +162,14 @@
 
 #[test]
 fn words_of_many_servers_take_bounded_room_and_the_latest_stay() {
-    let mut words = Announcements::new();
+    let mut announcements = Announcements::new();
     let now = Time::from_millis(1_000);
-    (0..20_000).for_each(|server| words.pause(server, Duration::from_millis(u64::from(server) + 1), now));
-    words.leave(1, now + HOUR, now);
-    words.pause(20_000, SECOND * 30, now);
-    assert!(words.get(1).leaves(now) && words.get(20_000).paused() > now);
-    assert_eq!(words.get(5).paused(), Time::default(), "the first to end was forgotten");
+    (0..20_000)
+        .for_each(|server| announcements.record_pause(server, Duration::from_millis(u64::from(server) + 1), now));
+    announcements.record_leaving(1, now + HOUR, now);
+    announcements.record_pause(20_000, SECOND * 30, now);
+    assert!(announcements.get(1).is_leaving(now) && announcements.get(20_000).paused_until() > now);
+    assert_eq!(announcements.get(5).paused_until(), Time::default(), "the first to end was forgotten");
 }
 
 /// Load: three quarters of what the servers can do; from five seconds on, some of them want nothing for four.
--- a/crates/dispatch/tests/cases.rs
+++ b/crates/dispatch/tests/cases.rs
@@ -343,11 +343,11 @@
     let now = Time::from_millis(1_000);
     let mut server = Backend::new(backend(1, Place::Domain), now);
     for _ in 0..times {
-        server.start(false, now);
+        server.record_start(false, now);
         server.record_late(true, keyed, now);
         if answers {
-            server.end(false, true, now);
-            server.answered(3.0, true, keyed, now);
+            server.record_end(false, true, now);
+            server.record_answer(3.0, true, keyed, now);
         }
     }
     assert_eq!(server.suspect(), ejected);
--- a/crates/dispatch/tests/keyed.rs
+++ b/crates/dispatch/tests/keyed.rs
@@ -146,9 +146,9 @@
         }));
     }
     assert!(engine.queued() as u64 >= WAITING, "{} requests wait", engine.queued());
-    let before = engine.choices();
+    let before = engine.picks();
     engine.finish(started[0], Ending::Answered(10), now + Duration::from_millis(1));
-    let looked_at = engine.choices() - before;
+    let looked_at = engine.picks() - before;
     let more = engine.take_actions().into_iter().filter(|action| matches!(action, Action::Start { .. })).count();
     assert!(more >= 1, "the server that has room gets what waits for it");
     assert!(looked_at <= WAITING / 10, "{looked_at} of {} were looked at", engine.queued());
--- a/crates/dispatch/tests/rules.rs
+++ b/crates/dispatch/tests/rules.rs
@@ -175,7 +175,7 @@
         let phase = f64::from(daemon) / f64::from(daemons);
         let start = SlowStart { until: Time::ZERO, per_second: bears / f64::from(daemons), starter: false, phase };
         let mut server = Backend::new(Spec { slow_start: Some(start), ..backend(1, Place::Region) }, START);
-        server.failed(START);
+        server.record_failure(START);
         server
     };
     let mut waiting: Vec<Backend> = (0..daemons).map(server).collect();
