--- a/crates/dispatch/src/announcements.rs
+++ b/crates/dispatch/src/announcements.rs
@@ -1,7 +1,7 @@
-//! What backend servers say of themselves with their answers: that they leave, or want nothing for a while.
+//! What backend servers announce in their answers: that they are leaving, or ask for a pause.
 //!
-//! It is kept apart from the list of servers, which may lag behind, lose a server for a moment or name it as ready for
-//! longer than it is.
+//! Announcements are kept apart from the list of servers, which may lag behind, omit a server for a moment, or show it
+//! as ready for too long.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,53 +10,53 @@
 
 use crate::backend::BackendId;
 
-/// Longest pause that a server is believed to want.
+/// Maximum length of a pause; longer ones are cut to it.
 const MAX_PAUSE: Duration = Duration::from_mins(10);
-/// Servers remembered at most; those whose words end first go first.
+/// Maximum number of servers with announcements; those that expire first are evicted first.
 const MAX_ENTRIES: usize = 4_096;
 
-/// What one server said last.
+/// What one server last announced.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Announcement {
-    /// Until when it counts as leaving; zero if it did not say so.
+    /// Until when the server counts as leaving; zero if it has not announced that.
     leaving_until: Time,
-    /// Until when it wants nothing.
+    /// End of the pause; zero if there was none.
     paused_until: Time,
 }
 
 impl Announcement {
-    /// Whether it leaves.
+    /// Returns whether the server is leaving.
     pub fn is_leaving(&self, now: Time) -> bool {
         now < self.leaving_until
     }
 
-    /// Until when it wants nothing; in the past if it takes work.
+    /// Returns the end of the announced pause; in the past if there is none.
     pub const fn paused_until(&self) -> Time {
         self.paused_until
     }
 
-    /// When nothing of it counts any more.
+    /// Returns when nothing of the announcement applies any longer.
     fn expires_at(&self) -> Time {
         self.leaving_until.max(self.paused_until)
     }
 }
 
-/// What servers said, by number.
+/// Announcements by server.
 #[derive(Debug, Clone, Default)]
 pub struct Announcements(BTreeMap<BackendId, Announcement>);
 
 impl Announcements {
-    /// Nothing was said.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What `server` said.
+    /// Returns what `server` announced.
     pub fn get(&self, server: BackendId) -> Announcement {
         self.0.get(&server).copied().unwrap_or_default()
     }
 
-    /// `server` leaves and counts as leaving until `until`; says whether that is news.
+    /// Records that `server` counts as leaving until `until`; returns whether that is new.
     pub fn record_leaving(&mut self, server: BackendId, until: Time, now: Time) -> bool {
         let announcement = self.entry(server, now);
         let is_new = !announcement.is_leaving(now);
@@ -64,13 +64,13 @@
         is_new
     }
 
-    /// `server` wants nothing for `pause`.
+    /// Records that `server` asks for a pause of this length.
     pub fn record_pause(&mut self, server: BackendId, pause: Duration, now: Time) {
         let announcement = self.entry(server, now);
         announcement.paused_until = announcement.paused_until.max(now + pause.min(MAX_PAUSE));
     }
 
-    /// The servers that leave.
+    /// Returns the servers that are leaving.
     pub fn leaving(&self, now: Time) -> impl Iterator<Item = BackendId> {
         self.0.iter().filter(move |(_, announcement)| announcement.is_leaving(now)).map(|(server, _)| *server)
     }
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -1,4 +1,5 @@
-//! A backend server as one daemon sees it: own observations first, late reports second.
+//! The state of a backend server as one daemon observes it. Own observations take precedence over reports, which
+//! arrive late.
 
 mod spec;
 
@@ -11,47 +12,48 @@
 
 pub use self::spec::{BackendId, Place, Report, SlowStart, Spec};
 
-/// Late answers in a row after which a server is ejected.
+/// Number of late attempts in a row after which a server is ejected.
 const LATE_EJECTION_THRESHOLD: u32 = 2;
-/// The same where attempts are about objects, and no answer at all came meanwhile: such work is often late because
-/// it waits or because its object is new there, and moving the objects of a server that answers makes more of it.
+/// The same for attempts about objects, counted while no answer at all arrives. Such work is often late because it
+/// waits or because its object is cold, and moving the objects away from a server that still answers would add to the
+/// work.
 const KEYED_LATE_EJECTION_THRESHOLD: u32 = 6;
-/// Answers lost in a row after which a server is ejected: one alone may be the network's doing, and a server that
-/// is gone loses all or cannot be reached.
+/// Number of lost answers in a row after which a server is ejected. A single one may be a fault of the network, while
+/// a crashed server loses all of them or cannot be reached.
 const LOST_EJECTION_THRESHOLD: u32 = 2;
-/// First time of an ejection; it doubles with each one in a row.
+/// Duration of a first ejection; it doubles with each further one in a row.
 const BASE_EJECTION: Duration = Duration::from_secs(1);
-/// Longest time of an ejection.
+/// Maximum duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(30);
-/// Time without work after a shed request.
+/// Time without new work after a shed request.
 const SHED_PAUSE: Duration = Duration::from_millis(50);
-/// Age up to which a report came with the answer that is judged.
+/// Maximum age of a report that counts as current, that is, as part of the answer that is being processed.
 const FRESH_REPORT_AGE: Duration = Duration::from_millis(50);
-/// Age at which a report of others' work counts for nothing.
+/// Age at which a report without a pace no longer says anything of the work of other daemons.
 const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
-/// Part of a new report in the running average.
+/// Weight of a new report in the running average of the load.
 const REPORT_EWMA_WEIGHT: f64 = 0.3;
-/// Time over which our own attempts in flight are averaged.
+/// Time over which this daemon's attempts in flight are averaged.
 const IN_FLIGHT_WINDOW: Duration = Duration::from_secs(3);
-/// Answers for each further slot a starting server gets.
+/// Number of answers after which a new server gets one more slot.
 const ANSWERS_PER_SLOT: u32 = 2;
-/// Part of a new latency in the running average.
+/// Weight of a new latency ratio in the running average.
 const LATENCY_EWMA_WEIGHT: f64 = 0.3;
-/// Largest ratio a single latency counts for, so that one straggler does not condemn a server.
+/// Maximum that a single latency ratio counts for, so that one straggler does not make a server look slow.
 const MAX_LATENCY_RATIO: f64 = 8.0;
-/// Requests that one daemon sends at once to a server that starts cold.
+/// Burst of requests that one daemon may send to a server in slow start.
 const COLD_BURST: f64 = 1.0;
-/// Time for which a server's word on its pace holds by half: neighbours come and go.
+/// Half-life of a reported pace: what else runs on the server's machine changes.
 const PACE_HALF_LIFE: Duration = Duration::from_millis(400);
-/// Time for which a server's word on the work of other daemons holds by half.
+/// Half-life of the reported work of other daemons.
 const OTHERS_HALF_LIFE: Duration = Duration::from_millis(300);
-/// Time without a word from a server after which what it usually has from others counts less and less: a server
-/// that is sent nothing because it was busy could never tell that it is free.
+/// Time without a report after which the average work of other daemons fades. Without that, a server that gets nothing
+/// because it was busy could never report that it is free.
 const REPORT_SILENCE: Duration = Duration::from_millis(500);
-/// Part of a new word on the work of other daemons in its average.
+/// Weight of a new report in the average work of other daemons.
 const OTHERS_EWMA_WEIGHT: f64 = 0.2;
 
-/// Requests a second and at once that this daemon may send the server while it starts.
+/// Returns the rate, in requests per second, and the burst that this daemon may send the server in slow start.
 fn slow_start_rate(spec: &Spec) -> (f64, f64) {
     let per_second = spec.slow_start.map_or(0.0, |start| start.per_second);
     (per_second, if per_second > 0.0 { COLD_BURST } else { 0.0 })
@@ -61,50 +63,51 @@
 #[derive(Debug, Clone)]
 #[expect(clippy::struct_excessive_bools, reason = "each is seen or said on its own")]
 pub struct Backend {
-    /// What is declared of it.
+    /// What is declared of the server.
     pub spec: Spec,
-    /// Our attempts in flight.
+    /// This daemon's attempts in flight.
     pub in_flight: u32,
-    /// Our attempts in flight that may wait.
+    /// Those of them whose class may wait.
     pub waiting_in_flight: u32,
-    /// Our attempts in flight that are late.
+    /// Those of them that are late.
     pub late: u32,
     report: Option<Report>,
-    /// Running average of the reported load, in requests.
+    /// Running average of the load in reports without a pace, in requests.
     average_load: f64,
-    /// Running average of our own attempts in flight, in requests.
+    /// Running average of this daemon's attempts in flight.
     average_in_flight: f64,
     average_updated_at: Time,
     latency_ratio: f64,
     late_in_row: u32,
     lost_in_row: u32,
     ejections: u32,
-    /// No work before this time.
+    /// No work is sent before this time, as the server was ejected or shed a request.
     unavailable_until: Time,
-    /// Whether the server must prove itself with one request.
+    /// Whether the server was ejected and has not answered a trial request since.
     on_probation: bool,
-    /// Whether it was ejected last because its answers were late; it could be reached.
+    /// Whether the last ejection was for late answers; the server could be reached then.
     ejected_as_slow: bool,
-    /// What the server said of itself.
+    /// What the server last announced.
     announcement: Announcement,
-    /// Whether it said that it leaves.
+    /// Whether it has announced that it is leaving.
     announced_leaving: bool,
-    /// Whether it takes work again after a pause, little by little.
+    /// Whether it is coming back from a pause and gets its work back gradually.
     resuming: bool,
+    /// Answers since the last failure or pause.
     answers: u32,
-    /// Paces the requests to a server that starts.
+    /// Limits the rate of requests to a server in slow start.
     slow_start_bucket: Bucket,
     pace: f64,
     pace_reported_at: Time,
-    /// Work of other daemons as the last answer told it, and on average.
+    /// Work of other daemons according to the last answer, with the time of that answer; below, its average.
     reported_others: Option<(f64, Time)>,
     average_others: f64,
-    /// What its others' work is taken to be before an answer told it: that of the servers like it.
+    /// Assumed work of other daemons until an answer reports it: that of the other servers of its service.
     assumed_others: f64,
 }
 
 impl Backend {
-    /// A server that nothing is known of; it starts slowly.
+    /// Creates a server without observations; it gets its work gradually.
     pub fn new(spec: Spec, now: Time) -> Self {
         let (per_second, burst) = slow_start_rate(&spec);
         Self {
@@ -136,14 +139,14 @@
         }
     }
 
-    /// Takes what is declared of it now; what was seen of it stays.
+    /// Replaces what is declared of the server; observations stay.
     pub fn update_spec(&mut self, spec: Spec, now: Time) {
         let (per_second, burst) = slow_start_rate(&spec);
         self.slow_start_bucket.set_rate(per_second, burst, now);
         self.spec = spec;
     }
 
-    /// Takes in a load report; an older one than known changes nothing.
+    /// Records a load report; an older one than the last changes nothing.
     pub fn report(&mut self, report: Report) {
         if self.report.is_some_and(|known| known.at > report.at) {
             return;
@@ -158,7 +161,7 @@
         self.report = Some(report);
     }
 
-    /// Takes in a report that came with the answer to one of our attempts, which it counts.
+    /// Records a report that arrived with the answer to one of our attempts; its load still includes that attempt.
     fn apply_answer_report(&mut self, report: Report, pace: f64) {
         let others = (f64::from(report.load) - f64::from(self.in_flight)).max(0.0);
         self.average_others += OTHERS_EWMA_WEIGHT * (others - self.average_others);
@@ -168,28 +171,29 @@
         self.report = Some(report);
     }
 
-    /// The work of other daemons there on average, if its answers told it.
+    /// Returns the average work of other daemons; `None` until an answer has reported it.
     pub fn average_others(&self) -> Option<f64> {
         self.reported_others.map(|_| self.average_others)
     }
 
-    /// Takes the work of other daemons there to be `others` as long as no answer has told it.
+    /// Sets the assumed work of other daemons, used until an answer has reported it.
     pub const fn assume_others(&mut self, others: f64) {
         self.assumed_others = others;
     }
 
-    /// When it last told its load.
+    /// Returns when the server last reported its load; `None` if it never did.
     pub fn reported_at(&self) -> Option<Time> {
         self.report.map(|report| report.at)
     }
 
-    /// How long work takes there, as a multiple of the usual, as far as its last word still tells.
+    /// Returns how long work takes at the server, as a multiple of the usual time; an old report fades towards 1.
     pub fn pace(&self, now: Time) -> f64 {
         let half_lives = now.since(self.pace_reported_at).as_secs_f64() / PACE_HALF_LIFE.as_secs_f64();
         1.0 + (self.pace - 1.0) * 0.5_f64.powf(half_lives)
     }
 
-    /// Whether a server that starts, or may have started anew, can be sent a request now.
+    /// Returns whether slow start allows a request now. It applies to a new server, and to an ejected one that may
+    /// have restarted.
     pub fn admits(&self, now: Time) -> bool {
         let starter_elsewhere = self.spec.slow_start.is_some_and(|start| now < start.until && !start.starter);
         !starter_elsewhere && (!self.in_slow_start(now) || self.slow_start_bucket.clone().level(now) >= 1.0)
@@ -199,7 +203,7 @@
         self.spec.slow_start.is_some_and(|start| now < start.until || self.on_probation)
     }
 
-    /// One of our attempts starts there.
+    /// Records that an attempt of this daemon starts.
     pub fn record_start(&mut self, may_wait: bool, now: Time) {
         self.update_average(now);
         if self.in_slow_start(now) {
@@ -209,7 +213,7 @@
         self.waiting_in_flight += u32::from(may_wait);
     }
 
-    /// One of our attempts ended there.
+    /// Records that an attempt of this daemon ended; `late` if it was recorded as late.
     pub fn record_end(&mut self, may_wait: bool, late: bool, now: Time) {
         self.update_average(now);
         self.in_flight -= 1;
@@ -217,14 +221,14 @@
         self.late -= u32::from(late);
     }
 
-    /// Averages our own attempts over about the time that reports are averaged over.
+    /// Averages this daemon's attempts in flight over about the same time as the reports.
     fn update_average(&mut self, now: Time) {
         let elapsed = now.since(self.average_updated_at).as_secs_f64() / IN_FLIGHT_WINDOW.as_secs_f64();
         self.average_in_flight += (1.0 - (-elapsed).exp()) * (f64::from(self.in_flight) - self.average_in_flight);
         self.average_updated_at = now;
     }
 
-    /// Takes in what the server says of itself.
+    /// Applies the server's latest announcement.
     pub fn apply_announcement(&mut self, announcement: Announcement, now: Time) {
         if announcement.paused_until() > self.announcement.paused_until() && announcement.paused_until() > now {
             self.resuming = true;
@@ -234,53 +238,53 @@
         self.announcement = announcement;
     }
 
-    /// Whether it takes no new work for good.
+    /// Returns whether the server takes no new work for good: it is drained, removed, or has said that it stops.
     pub fn leaving(&self) -> bool {
         self.spec.leaving || self.announced_leaving || self.report.is_some_and(|report| report.draining)
     }
 
-    /// Whether it takes no work at `now` because of what we saw or it said.
+    /// Returns whether the server gets no work at `now`, because of our observations or an announced pause.
     pub fn unavailable(&self, now: Time) -> bool {
         self.ejected(now) || self.paused(now)
     }
 
-    /// Whether it is ejected or shed work a moment before `now`.
+    /// Returns whether the server is ejected at `now`, or has just shed a request.
     pub fn ejected(&self, now: Time) -> bool {
         now < self.unavailable_until
     }
 
-    /// Whether it said that it wants nothing at `now`.
+    /// Returns whether the server has announced a pause that covers `now`.
     pub fn paused(&self, now: Time) -> bool {
         now < self.announcement.paused_until()
     }
 
-    /// Until when it wants nothing; in the past if it takes work.
+    /// Returns the end of the announced pause; in the past if there is none.
     pub const fn paused_until(&self) -> Time {
         self.announcement.paused_until()
     }
 
-    /// When it takes work again, as far as known.
+    /// Returns when the server can get work again, as far as known.
     pub fn available_at(&self) -> Time {
         self.unavailable_until.max(self.announcement.paused_until())
     }
 
-    /// Whether it has as much of ours as it may have so soon after a pause: many that send to it again at once would
-    /// fill it at once.
+    /// Returns whether the server has as many of our attempts as it may have so soon after a pause. Without this
+    /// limit, all daemons together would fill it at once.
     pub fn at_resume_limit(&self) -> bool {
         self.resuming && self.in_flight >= self.limit()
     }
 
-    /// Until when it takes no work because of what we saw.
+    /// Returns the end of the last ejection or pause after a shed request.
     pub const fn unavailable_until(&self) -> Time {
         self.unavailable_until
     }
 
-    /// Whether it is ejected, or was and must prove itself.
+    /// Returns whether the server is ejected, or was and has not passed its trial yet.
     pub fn suspect(&self) -> bool {
         self.on_probation
     }
 
-    /// Attempts of ours it may have at once.
+    /// Returns the maximum number of attempts of this daemon in flight.
     pub fn limit(&self) -> u32 {
         if self.on_probation {
             return 1;
@@ -288,10 +292,10 @@
         self.spec.slots.min(1 + self.answers / ANSWERS_PER_SLOT)
     }
 
-    /// The work of other daemons there, as far as known.
+    /// Returns the work of other daemons at the server, in requests, as far as known.
     ///
-    /// A report that came with an answer tells of the moment and fades to the average. Any other is old when it
-    /// comes, and work is short, so it says nothing of the moment: its average fades with its age.
+    /// A report that arrived with an answer is current and fades to the average. Any other report is old when it
+    /// arrives, and as work is short it does not show the current load, so its average fades with its age.
     pub fn others(&self, now: Time) -> f64 {
         if let Some((reported, at)) = self.reported_others {
             let age = now.since(at);
@@ -305,24 +309,25 @@
         (self.average_load - self.average_in_flight).max(0.0) * (1.0 - age).max(0.0)
     }
 
-    /// All work there, as far as known.
+    /// Returns all work at the server, in requests, as far as known.
     pub fn load(&self, now: Time) -> f64 {
         f64::from(self.in_flight) + self.others(now)
     }
 
-    /// Whether it told just now that it has a slot free.
+    /// Returns whether the server has just reported that it has a free slot.
     pub fn reports_free_slot(&self, now: Time) -> bool {
         let fresh = self.reported_at().is_some_and(|at| now.since(at) < FRESH_REPORT_AGE);
         fresh && self.load(now) < f64::from(self.spec.slots)
     }
 
-    /// How long work takes there, relative to what is typical.
+    /// Returns how long work takes at the server, relative to the typical latency; at least 1, and more while attempts
+    /// are late.
     pub fn latency_ratio(&self) -> f64 {
         self.latency_ratio.max(1.0) + f64::from(self.late)
     }
 
-    /// An attempt was answered after `ratio` times the typical latency; `late` if it was noted as late before,
-    /// `keyed` if it was about an object.
+    /// Records an answer after `ratio` times the typical latency; `late` if the attempt was recorded as late, `keyed`
+    /// if it was about an object.
     pub fn record_answer(&mut self, ratio: f64, late: bool, keyed: bool, now: Time) {
         self.answers = self.answers.saturating_add(1);
         self.resuming &= self.limit() < self.spec.slots;
@@ -342,7 +347,8 @@
         }
     }
 
-    /// An attempt is late now, while it still runs. A server that cannot be done without is not ejected for it.
+    /// Records that an attempt is late while it still runs. The server is ejected only if `may_eject`, that is, if it
+    /// can be spared.
     pub fn record_late(&mut self, may_eject: bool, keyed: bool, now: Time) {
         self.late += 1;
         self.late_in_row += 1;
@@ -353,7 +359,7 @@
         }
     }
 
-    /// Takes a server that was ejected for late answers back at once; says whether that changed anything.
+    /// Ends an ejection for late answers; returns whether there was one.
     pub fn reinstate(&mut self, now: Time) -> bool {
         let reinstated = self.ejected_as_slow && self.ejected(now);
         if reinstated {
@@ -364,13 +370,13 @@
         reinstated
     }
 
-    /// An attempt ended by its deadline before it was noted as late.
+    /// Records that an attempt ran into its deadline before it was recorded as late.
     pub fn record_late_end(&mut self, may_eject: bool, keyed: bool, now: Time) {
         self.record_late(may_eject, keyed, now);
         self.late -= 1;
     }
 
-    /// The answer to an attempt was lost or cut short.
+    /// Records that the answer to an attempt was lost or truncated.
     pub fn record_loss(&mut self, now: Time) {
         self.lost_in_row += 1;
         if self.on_probation || self.lost_in_row >= LOST_EJECTION_THRESHOLD {
@@ -378,15 +384,15 @@
         }
     }
 
-    /// The server could not be reached, or is taken to be gone.
+    /// Records that the server could not be reached, or lost too many answers, and ejects it.
     pub fn record_failure(&mut self, now: Time) {
         self.answers = 0;
         self.lost_in_row = 0;
         self.eject(now);
     }
 
-    /// The server shed an attempt. One that has a slot free, as it told with that answer, refused this request and not
-    /// work; work on objects, if `keyed`, stays with it then.
+    /// Records that the server shed an attempt. If it reported a free slot with that answer, it refused this request
+    /// rather than more work; for work on objects (`keyed`) it then keeps getting requests.
     pub fn record_shed(&mut self, keyed: bool, now: Time) {
         if keyed && self.reports_free_slot(now) {
             return;
@@ -402,7 +408,8 @@
         self.ejections += 1;
         self.on_probation = true;
         if let Some(start) = self.spec.slow_start.filter(|start| !start.starter) {
-            // All daemons may eject it at once: their tries are spread over the time in which it bears them.
+            // All daemons may eject the server at the same time, so their trial requests are spread over the time in
+            // which it can take them.
             let level = self.slow_start_bucket.level(now);
             self.slow_start_bucket.charge(level + start.phase, now);
         }
--- a/crates/dispatch/src/backend/spec.rs
+++ b/crates/dispatch/src/backend/spec.rs
@@ -5,49 +5,50 @@
 /// A backend server's number.
 pub type BackendId = u32;
 
-/// Where a backend server stands.
+/// Where a backend server is, relative to this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place {
-    /// In our failure domain.
+    /// In the same failure domain.
     Domain,
-    /// In our region.
+    /// In another failure domain of the same region.
     Region,
     /// In another region, by position in the list of regions.
     Remote(u16),
 }
 
-/// What the platform's list and the policy say of a backend server.
+/// What the platform's list and the policy declare of a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Spec {
     /// Its number; unique and never reused for another incarnation.
     pub id: BackendId,
     /// Its service, by position in the list of services.
     pub service: u16,
-    /// Where it stands.
+    /// Its place relative to this daemon.
     pub place: Place,
-    /// Requests it runs at once.
+    /// Number of requests it runs at the same time.
     pub slots: u32,
-    /// Whether it leaves or is drained.
+    /// Whether it is leaving or drained.
     pub leaving: bool,
     /// Whether this daemon may run waiting work on it.
     pub hosts: bool,
-    /// Its region, by position.
+    /// Its region, by position in the list of regions.
     pub region: u16,
-    /// How it starts, if it must not get its full work at once.
+    /// Limits while the server is new; `None` if it may get its full work at once.
     pub slow_start: Option<SlowStart>,
 }
 
-/// A slow start.
+/// Limits on the requests to a cold server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStart {
-    /// Until when the server starts.
+    /// End of the slow start.
     pub until: Time,
-    /// Requests a second that this daemon may send meanwhile if it is a starter, and to try the server whenever it
-    /// is not known whether it has started anew.
+    /// Requests per second that this daemon may send until then if it is a starter. The rate also limits trial
+    /// requests to an ejected server, which may have restarted.
     pub per_second: f64,
-    /// Whether this daemon sends work to the server while it starts.
+    /// Whether this daemon sends work to the server during the slow start.
     pub starter: bool,
-    /// Where this daemon stands, from 0 to 1, in the order in which those that are no starters try the server.
+    /// Position of this daemon, from 0 to 1, in the order in which daemons that are not starters try an ejected
+    /// server.
     pub phase: f64,
 }
 
@@ -56,10 +57,10 @@
 pub struct Report {
     /// Requests running or waiting at the server, from all daemons.
     pub load: u32,
-    /// Whether the server says that it is about to stop.
+    /// Whether the server states that it is about to stop.
     pub draining: bool,
-    /// How long work takes there now, as a multiple of the usual, if it says so.
+    /// How long work takes there now, as a multiple of the usual time; `None` if the report does not say.
     pub pace: Option<f64>,
-    /// When the report was true.
+    /// Time at which the report was true.
     pub at: Time,
 }
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,6 +1,6 @@
-//! Budgets for extra work, earned by ordinary work.
+//! Budgets for extra attempts, earned by ordinary requests.
 
-/// A budget that earns a part of a unit for each request and spends whole units.
+/// A budget that earns a fraction of an attempt for each request and spends whole ones.
 #[derive(Debug, Clone)]
 pub struct Budget {
     ratio: f64,
@@ -9,12 +9,12 @@
 }
 
 impl Budget {
-    /// A full budget of `most` units that earns `earned_per_request` for each request.
+    /// Creates a full budget of `burst` attempts that earns `ratio` of an attempt for each request.
     pub const fn new(ratio: f64, burst: f64) -> Self {
         Self { ratio, burst, level: burst }
     }
 
-    /// Changes what is earned and how much can be saved up.
+    /// Replaces the ratio and the burst.
     pub fn set(&mut self, ratio: f64, burst: f64) {
         self.ratio = ratio;
         self.burst = burst;
@@ -26,7 +26,7 @@
         self.level = (self.level + self.ratio).min(self.burst);
     }
 
-    /// Spends one unit if it is there; says whether it did.
+    /// Spends one attempt if the budget holds one; returns whether it did.
     pub fn spend(&mut self) -> bool {
         if self.level < 1.0 {
             return false;
--- a/crates/dispatch/src/class.rs
+++ b/crates/dispatch/src/class.rs
@@ -1,4 +1,4 @@
-//! A class of work and what has been seen of it.
+//! A class of work with its observed latencies and answer sizes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,41 +9,41 @@
 use crate::split::{Share, Split};
 use crate::work_time::Estimate;
 
-/// Typical latency before anything was seen.
+/// Typical latency before any is observed.
 const INITIAL_LATENCY: Duration = Duration::from_millis(50);
-/// Answer size before anything was seen, in bytes.
+/// Answer size before any is observed, in bytes.
 const INITIAL_ANSWER_SIZE: f64 = 65_536.0;
-/// Part by which the largest answer size fades with each answer.
+/// Factor by which the largest answer size decays with each answer.
 const ANSWER_SIZE_DECAY: f64 = 0.995;
-/// An attempt that takes this many times the typical latency is late.
+/// An attempt is late after this multiple of the typical latency.
 const LATE_FACTOR: u32 = 4;
-/// The same for an attempt at a server that must prove itself.
+/// The same at a server on probation.
 const PROBATION_LATE_FACTOR: u32 = 2;
-/// Work on an object that its server handled lately, before any was seen, as a part of the target.
+/// Time of warm work before any is observed, as a fraction of the target.
 const INITIAL_WARM_RATIO: f64 = 0.4;
-/// Servers that one request is sent to at most, hedges included, where nothing else is declared.
+/// Maximum number of attempts of a request, hedges included, where the class declares none.
 const DEFAULT_MAX_ATTEMPTS: usize = 4;
 
 /// What operators declare of a class, as far as dispatch needs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Spec {
-    /// Hash of its name: the same in all daemons, whatever the order in which they learnt of it.
+    /// Hash of the class's name, equal in all daemons in whatever order they learn of classes.
     pub key: u64,
     /// Service, by position in the list of services.
     pub service: u16,
     /// Whether running the work twice is harmless.
     pub idempotent: bool,
-    /// Rank in the order of loss: 0 is kept longest.
+    /// Priority when load is shed: requests of rank 0 are dropped last.
     pub rank: u8,
     /// Time within which an answer counts as good.
     pub target: Duration,
     /// Time after which an answer is of no use.
     pub deadline: Duration,
-    /// Whether the work may wait but must finish.
+    /// Whether the work may wait, but must finish.
     pub may_wait: bool,
-    /// Servers that one request is sent to at most, hedges included.
+    /// Maximum number of attempts of a request, hedges included.
     pub max_attempts: usize,
-    /// Whether servers work faster on an object that they handled lately.
+    /// Whether servers work faster on an object that they handled recently.
     pub affinity: bool,
     /// Regions that may run the work, by position; empty for all.
     pub regions: Vec<u16>,
@@ -52,7 +52,7 @@
 }
 
 impl Spec {
-    /// Idempotent work of `service` that nobody waits for longer than `deadline`.
+    /// Creates a class of idempotent work of `service`, with `deadline` as its target too.
     pub const fn new(service: u16, deadline: Duration) -> Self {
         Self {
             key: 0,
@@ -69,18 +69,18 @@
         }
     }
 
-    /// Whether the servers of `region` may run the work.
+    /// Returns whether servers of `region` may run the work.
     pub fn allows(&self, region: u16) -> bool {
         self.regions.is_empty() || self.regions.contains(&region)
     }
 }
 
-/// A class with its queue and its recent latencies.
+/// A class with its queue and its statistics.
 #[derive(Debug, Clone)]
 pub struct Class {
     /// What operators declare.
     pub spec: Spec,
-    /// Requests that wait, by number, next one first.
+    /// Waiting requests, by number, the next one first.
     pub queue: VecDeque<u64>,
     /// Attempts in flight.
     pub in_flight: u32,
@@ -89,12 +89,12 @@
     pub work: Estimate,
     split: Split,
     answer_size: f64,
-    /// Whether an answer was seen.
+    /// Whether an answer was observed.
     answer_size_known: bool,
 }
 
 impl Class {
-    /// A class that nothing is known of.
+    /// Creates a class without observations.
     pub fn new(spec: Spec) -> Self {
         Self {
             queue: VecDeque::new(),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes new targets.
+    /// Replaces what is declared; the queue and the statistics stay.
     pub fn update_spec(&mut self, spec: Spec) {
         if !self.split.has_shares(&spec.split) {
             self.split = Split::new(&spec.split);
@@ -116,39 +116,39 @@
         self.spec = spec;
     }
 
-    /// The service of the next request.
+    /// Returns the service of the next request.
     pub fn next_service(&mut self) -> u16 {
         self.split.next_service().unwrap_or(self.spec.service)
     }
 
-    /// Takes in the latency and the answer size of one answered attempt.
+    /// Records the latency and the answer size of one answered attempt.
     pub fn record(&mut self, latency: Duration, bytes: u64) {
         self.answer_size = (self.answer_size * ANSWER_SIZE_DECAY).max(bytes as f64);
         self.answer_size_known = true;
         self.latencies.record(latency);
     }
 
-    /// The median of recent latencies; a third of slow servers does not move it far.
+    /// Returns the median of recent latencies, which a third of slow servers does not move far.
     pub const fn typical_latency(&self) -> Duration {
         self.latencies.median()
     }
 
-    /// Age from which an attempt is late; sooner at a server on `trial`.
+    /// Returns the latency from which an attempt is late; shorter at a server on probation.
     pub fn late_after(&self, on_probation: bool) -> Duration {
         self.typical_latency() * if on_probation { PROBATION_LATE_FACTOR } else { LATE_FACTOR }
     }
 
-    /// A size that answers seldom pass, in bytes.
+    /// Returns a size that answers rarely exceed, in bytes.
     pub const fn answer_size(&self) -> f64 {
         self.answer_size
     }
 
-    /// Whether the size rests on answers that were seen.
+    /// Returns whether the size is based on observed answers.
     pub const fn answer_size_known(&self) -> bool {
         self.answer_size_known
     }
 
-    /// Whether a request that arrived at `arrived` has waited so long that it goes first.
+    /// Returns whether a request has waited so long that it goes first.
     pub fn aged(&self, arrived: Time, now: Time) -> bool {
         self.spec.may_wait && now.since(arrived) > self.spec.deadline / 4
     }
--- a/crates/dispatch/src/engine/answer.rs
+++ b/crates/dispatch/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its one answer, true of all its attempts.
+//! Answers requests: each gets exactly one answer, which is true of all its attempts.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
         self.actions.push(Action::Answer { request, verdict, retry_after: None });
     }
 
-    /// Answers with an error; its caller should come back `after`, if not after the usual time.
+    /// Answers with an error. The caller should retry after `retry_after`; `None` for the usual time of `kind`.
     pub(super) fn answer_error(&mut self, request: u64, kind: Kind, retry_after: Option<Duration>) {
         self.actions.push(Action::Answer { request, verdict: Verdict::Refuse(kind), retry_after });
     }
 
-    /// Takes a request out of all books but its attempts'.
+    /// Removes a request, its timer and its place in the queue; its attempts stay until they end.
     pub(super) fn remove_request(&mut self, request: u64) -> Option<Request> {
         let state = self.requests.remove(&request)?;
         self.timers.remove(&(state.deadline, Timer::Deadline(request)));
@@ -29,7 +29,7 @@
         Some(state)
     }
 
-    /// Ends a request with an error that is true of all its attempts.
+    /// Ends a request with an error. An error that says "not run" is replaced if an attempt may have run.
     pub(super) fn refuse(&mut self, request: u64, kind: Kind, now: Time) {
         let Some(state) = self.remove_request(request) else { return };
         self.cancel_all(&state.live);
--- a/crates/dispatch/src/engine/decision.rs
+++ b/crates/dispatch/src/engine/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions and beliefs that cause no attempt; they go into logs only.
+//! Decisions and changes of state that cause no attempt, for logs only.
 
 use std::time::Duration;
 
@@ -8,73 +8,73 @@
 use super::Engine;
 use crate::backend::{Backend, BackendId};
 
-/// A server that was considered for a request.
+/// A home server that was considered for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// The server.
+    /// The backend server.
     pub backend: BackendId,
-    /// All work there, as far as known.
+    /// All requests at the server, as far as known.
     pub load: f64,
-    /// How long work takes there, as a multiple of the usual.
+    /// How long work takes at the server, as a multiple of the usual time.
     pub pace: f64,
-    /// Time to the answer if the request were sent there now.
+    /// Time to the answer if the request were sent now.
     pub expected_latency: Duration,
 }
 
-/// What was decided or is believed from now on.
+/// A decision, or a change in the state of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// A request waits for a server.
+    /// A request is held until a home server accepts it.
     Held {
-        /// The request.
+        /// The request's number.
         request: u64,
-        /// Requests of all classes that wait.
+        /// Number of waiting requests of all classes.
         waiting: usize,
-        /// The servers of its object, near and elsewhere.
+        /// The home servers of its object, near and far.
         candidates: [Option<Candidate>; 2],
     },
     /// A request is refused or failed.
     Refused {
-        /// The request.
+        /// The request's number.
         request: u64,
-        /// Why.
+        /// The error.
         kind: Kind,
-        /// Attempts before.
+        /// Number of attempts so far.
         attempts: usize,
-        /// Time since it came.
+        /// Time since the request arrived.
         waited: Duration,
-        /// Requests of all classes that wait.
+        /// Number of waiting requests of all classes.
         waiting: usize,
-        /// The servers of its object, near and elsewhere.
+        /// The home servers of its object, near and far.
         candidates: [Option<Candidate>; 2],
     },
-    /// A server gets no work for a while, then one request to prove itself.
+    /// A server is ejected: it gets no work until `until`, then a single request as a trial.
     Ejected {
-        /// The server.
+        /// The backend server.
         backend: BackendId,
-        /// Until when.
+        /// End of the ejection.
         until: Time,
-        /// Our attempts in flight there.
+        /// This daemon's attempts in flight at the server.
         in_flight: u32,
     },
-    /// An ejected server has proved itself.
+    /// An ejected server has passed its trial.
     Reinstated {
-        /// The server.
+        /// The backend server.
         backend: BackendId,
     },
-    /// A server said that it leaves.
+    /// A server announced that it is leaving.
     Leaving {
-        /// The server.
+        /// The backend server.
         backend: BackendId,
     },
-    /// A server wants nothing for a while.
+    /// A server announced a pause.
     Paused {
-        /// The server.
+        /// The backend server.
         backend: BackendId,
-        /// Until when.
+        /// End of the pause.
         until: Time,
     },
-    /// Requests with this fingerprint are refused: servers went away while they ran them.
+    /// Requests with this fingerprint are refused, as connections to servers were lost while they ran.
     Quarantined {
         /// The fingerprint.
         fingerprint: u64,
@@ -82,12 +82,12 @@
 }
 
 impl Engine {
-    /// Takes the notes made since the last call.
+    /// Takes the decisions recorded since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Lets `work` judge a server and notes what that changed.
+    /// Applies `update` to a server, and records an ejection or reinstatement that results from it.
     pub(super) fn update_backend(&mut self, backend: BackendId, update: impl FnOnce(&mut Backend)) {
         let Some(server) = self.backends.get_mut(&backend) else {
             return;
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Notes that a request waits for a server.
+    /// Records that a request is held.
     pub(super) fn record_held(&mut self, request: u64, now: Time) {
         let candidates = self.requests.get(&request).map(|state| self.candidates(state, now)).unwrap_or_default();
         self.decisions.push(Decision::Held { request, waiting: self.queued(), candidates });
     }
 
-    /// Takes in a loss of a connection; says whether it is news.
+    /// Records the loss of a connection; returns whether it is new and counts.
     pub(super) fn apply_loss(&mut self, fingerprint: u64, loss: u64, now: Time) -> bool {
         let was_quarantined = self.quarantine.is_quarantined(fingerprint, now);
         let is_new = self.quarantine.record_loss(fingerprint, loss, now);
--- a/crates/dispatch/src/engine/ending.rs
+++ b/crates/dispatch/src/engine/ending.rs
@@ -1,4 +1,4 @@
-//! What the ending of an attempt means for its server and its request.
+//! Handles the end of attempts: effects on the server and on the request.
 
 use std::time::Duration;
 
@@ -8,18 +8,19 @@
 use super::{Attempt, Ending, Engine, Verdict};
 use crate::backend::{Backend, BackendId};
 
-/// What an ended attempt is measured by.
+/// What the end of an attempt is judged by.
 #[derive(Clone, Copy)]
 struct Observation {
     latency: Duration,
     typical_latency: Duration,
-    /// From this time on an attempt without an answer tells of its server, and not of how little time it had.
+    /// Minimum latency from which a missing answer is held against the server: with less time the attempt was bound to
+    /// fail.
     min_informative: Duration,
     may_eject: bool,
 }
 
 impl Engine {
-    /// Takes an ended attempt out of the server's, the class's and the link's books.
+    /// Releases what an ended attempt used of its server, class and link, and updates their statistics.
     pub(super) fn release(&mut self, ended: &Attempt, ending: Ending, now: Time) {
         let class = &mut self.classes[ended.class];
         class.in_flight -= 1;
@@ -34,7 +35,7 @@
                 link.bucket.charge(bytes as f64 - reservation.bytes, now);
             }
         }
-        // Counting the suspects of a tier costs time with its size, so it is done only where it decides.
+        // Counting the suspects of a tier takes time linear in its size, so it is done only where it matters.
         let may_eject = ending == Ending::Timeout && self.may_eject(ended.backend);
         let latency = now.since(ended.started);
         let class = &mut self.classes[ended.class];
@@ -61,7 +62,7 @@
         });
     }
 
-    /// What a server's ending of an attempt tells of it.
+    /// Updates the health of a server after an attempt.
     fn record_ending(backend: &mut Backend, ended: &Attempt, ending: Ending, observation: Observation, now: Time) {
         let Observation { latency, typical_latency, min_informative, may_eject } = observation;
         match ending {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Decides what an ended attempt means for its request.
+    /// Decides what follows for the request of an ended attempt.
     pub(super) fn resolve(&mut self, attempt: u64, ended: &Attempt, ending: Ending, now: Time) {
         if ending == Ending::Lost {
             self.record_loss(ended, attempt, now);
@@ -110,12 +111,12 @@
             Ending::Timeout => self.retry(request, Kind::BackendTimeout, now),
             Ending::Cut => self.retry(request, Kind::AnswerCut, now),
             Ending::TooLarge => self.refuse(request, Kind::AnswerTooLarge, now),
-            // Nobody cancelled it, or its request would be closed: the server gave up work that it had begun.
+            // If this daemon had cancelled it, the request would be closed: the server gave up work that it had begun.
             Ending::Cancelled => self.retry(request, Kind::BackendTimeout, now),
         }
     }
 
-    /// Sends a request again if that is safe, allowed and of use; otherwise answers with `kind`.
+    /// Retries a request if that is safe, within budget and before its deadline; otherwise answers with `kind`.
     fn retry(&mut self, request: u64, kind: Kind, now: Time) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
@@ -143,7 +144,7 @@
         self.enqueue(request, true);
     }
 
-    /// Sends a request somewhere else after an attempt of which no byte was sent.
+    /// Sends a request to another server after an attempt of which no byte was sent; this attempt is not counted.
     fn reroute(&mut self, request: u64, from: BackendId, now: Time) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
--- a/crates/dispatch/src/engine/event.rs
+++ b/crates/dispatch/src/engine/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the engine and what comes out.
+//! Inputs and outputs of the engine.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 
 use crate::backend::BackendId;
 
-/// What happened to an attempt.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer is here, of so many bytes.
+    /// A complete answer arrived; its size in bytes.
     Answered(u64),
-    /// The server said that it ran nothing.
+    /// The server turned the request away and states that it ran nothing.
     Shed,
-    /// No byte was sent.
+    /// The server could not be reached: no byte was sent.
     Unreachable,
-    /// The connection was lost after bytes were sent.
+    /// The connection was lost after bytes had been sent.
     Lost,
-    /// The answer did not come in time.
+    /// No answer arrived in time.
     Timeout,
-    /// The answer was cut short or ambiguous.
+    /// The answer was truncated or ambiguous.
     Cut,
-    /// The answer was too large.
+    /// The answer exceeded the size limit.
     TooLarge,
-    /// The attempt was given up before any byte was sent, for this reason.
+    /// The attempt was abandoned for this error before any byte was sent.
     Withheld(Kind),
-    /// No byte was sent, since the server was not to get it any more.
+    /// No byte was sent, as the server may no longer be used; the request goes to another server.
     Recalled,
-    /// The attempt was cancelled by us.
+    /// The attempt was cancelled, by this daemon or by the server itself.
     Cancelled,
 }
 
 impl Ending {
-    /// Short name, for logs and metrics.
+    /// Returns the short name that logs and metrics show.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -53,101 +53,102 @@
 /// The final answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The answer of this attempt.
+    /// Relays the answer of this attempt.
     Relay(u64),
-    /// An error.
+    /// Answers with this error.
     Refuse(Kind),
 }
 
-/// What the engine wants done.
+/// A step that the engine asks its driver to take.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Action {
-    /// Send the request to a backend server.
+    /// Sends the request to a backend server.
     Start {
-        /// The request.
+        /// The request's number.
         request: u64,
         /// The attempt's number, never reused.
         attempt: u64,
-        /// The server.
+        /// The backend server.
         backend: BackendId,
-        /// When its answer is of no use.
+        /// Time after which an answer is of no use.
         deadline: Time,
-        /// Whether the request was sent before; it then gets a fresh connection.
+        /// Whether there was an attempt of the request before (retry or hedge); the driver then uses a fresh
+        /// connection.
         retry: bool,
-        /// What the choice rests on.
+        /// What the choice of the server was based on.
         basis: Basis,
     },
-    /// Cancel an attempt; it still has to be finished.
+    /// Cancels an attempt; its end must still be passed to the engine.
     Cancel {
-        /// The attempt.
+        /// The attempt's number.
         attempt: u64,
-        /// The server.
+        /// The backend server.
         backend: BackendId,
     },
-    /// Answer the caller; each request gets exactly one.
+    /// Answers the caller; every request gets exactly one answer.
     Answer {
-        /// The request.
+        /// The request's number.
         request: u64,
         /// The answer.
         verdict: Verdict,
-        /// When the caller should come back, if not after the usual time.
+        /// When the caller should retry; `None` for the usual time of the error kind.
         retry_after: Option<Duration>,
     },
 }
 
-/// What the choice of a server rests on.
+/// What the choice of a server was based on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Basis {
-    /// Whether the server had handled the request's object lately; `None` for a request about none.
+    /// Whether the server had handled the request's object recently; `None` for a request without an object.
     pub warm: Option<bool>,
-    /// Our requests in flight there, this one not counted.
+    /// This daemon's requests in flight at the server, this one not counted.
     pub own_in_flight: u32,
-    /// All work there, as far as known.
+    /// All requests at the server, those of other daemons included, as far as known.
     pub load: f64,
-    /// How long work takes there, as a multiple of the usual.
+    /// How long work takes at the server, as a multiple of the usual time.
     pub pace: f64,
-    /// When the server last told its load.
+    /// When the server last reported its load; `None` if it never did.
     pub reported_at: Option<Time>,
 }
 
-/// A request as it arrives.
+/// A new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
     /// The request's number, never reused.
     pub request: u64,
     /// Its class, by position.
     pub class: usize,
-    /// Its fingerprint: equal for a request that is sent again.
+    /// Hash of the request, equal for a request that its caller sends again.
     pub fingerprint: u64,
     /// Size of the request, in bytes.
     pub bytes: u64,
-    /// How long its caller waits, if it says so.
+    /// How long the caller waits, at most; `None` if it did not say.
     pub timeout: Option<Duration>,
-    /// The object that it is about, hashed.
+    /// Hash of the object that the request is about; `None` if it is about none.
     pub object: Option<u64>,
 }
 
 impl Arrival {
-    /// A request of `class` whose caller says nothing of how long it waits.
+    /// Creates a request without a caller's timeout and without an object.
     pub const fn new(request: u64, class: usize, fingerprint: u64, bytes: u64) -> Self {
         Self { request, class, fingerprint, bytes, timeout: None, object: None }
     }
 }
 
-/// The part of another region and of the link to it that this daemon may use.
+/// This daemon's share of another region and of the link to it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Remote {
-    /// Requests in flight there at most.
+    /// Maximum number of requests in flight in the region.
     pub max_in_flight: u32,
-    /// Bytes a second over the link, in the busier direction.
+    /// Bytes per second over the link, in its busier direction.
     pub bytes_per_second: f64,
 }
 
 impl Remote {
-    /// All of a region, over a link that no cap is declared for.
+    /// The whole region, over a link without a declared cap.
     pub const UNLIMITED: Self = Self { max_in_flight: u32::MAX, bytes_per_second: u32::MAX as f64 };
 
-    /// Whether no cap is declared for the link.
+    /// Returns whether no cap is declared for the link.
     pub fn is_uncapped(&self) -> bool {
         self.bytes_per_second >= Self::UNLIMITED.bytes_per_second
     }
@@ -156,35 +157,35 @@
 /// Limits of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Requests that wait at most.
+    /// Maximum number of waiting requests without an object.
     pub max_queued: usize,
-    /// Attempts in flight at most.
+    /// Maximum number of attempts in flight.
     pub max_in_flight: usize,
-    /// How long a request that crashed servers is refused.
+    /// How long requests with a fingerprint that crashed servers are refused.
     pub quarantine: Duration,
-    /// Extra work that may be caused.
+    /// Budgets for hedges and retries.
     pub budgets: Budgets,
 }
 
-/// Extra work that may be caused.
+/// Budgets for extra attempts. Each request earns a fraction of an attempt, and unused ones accumulate up to a burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budgets {
-    /// Part of a hedge that each request earns.
+    /// Hedges earned by each request.
     pub hedge_ratio: f64,
-    /// Hedges that can be saved up.
+    /// Maximum number of accumulated hedges.
     pub hedge_burst: f64,
-    /// Part of a retry that each request earns.
+    /// Retries earned by each request.
     pub retry_ratio: f64,
-    /// Retries that can be saved up.
+    /// Maximum number of accumulated retries.
     pub retry_burst: f64,
-    /// Part of a hedge or retry of one service that each request for it earns.
+    /// Hedges and retries of a service together that each request for it earns.
     pub repeat_ratio: f64,
-    /// Hedges and retries of one service that can be saved up.
+    /// Maximum number of accumulated hedges and retries of one service.
     pub repeat_burst: f64,
 }
 
 impl Budgets {
-    /// What one daemon may cause where nothing else is set.
+    /// Budgets of one daemon where the settings give none.
     pub const DEFAULT: Self = Self {
         hedge_ratio: 0.03,
         hedge_burst: 5.0,
--- a/crates/dispatch/src/engine/keyed.rs
+++ b/crates/dispatch/src/engine/keyed.rs
@@ -1,11 +1,11 @@
-//! Choice of a server for requests about an object, by when each would finish.
+//! Picks a server for requests about an object, by the expected time to the answer.
 //!
-//! Load pattern: many requests about few objects, and servers that work several times faster on an object that
-//! they handled lately, but remember only some dozens. Spreading an object over many servers makes each of them
-//! slow, which fills them, which spreads the object further; keeping it on one makes a queue there. Every daemon
-//! ranks the servers of an object in the same order without a word to the others. An object has two homes: the
-//! first server of its order in the daemon's region and the first one elsewhere. Both are the same after a restart,
-//! when a daemon knows nothing else.
+//! Load pattern: many requests about few objects, and servers that work several times faster on an object that they
+//! handled recently, but remember only some dozens. If an object is spread over many servers, each of them is slow,
+//! which fills them and spreads the object further; if it stays at one server, a queue forms there. So an object has
+//! two homes: the first server of a ranking by hash among those of the daemon's region, and the first one among those
+//! of other regions. All daemons compute the same ranking without communication, also after a restart, when a daemon
+//! has no other knowledge.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,49 +16,50 @@
 use super::{Candidate, Engine, Request};
 use crate::backend::{Backend, BackendId, Place};
 
-/// How likely other daemons have made an object warm at the home where it lives, before we have seen it.
+/// Probability that other daemons have made an object warm at its primary home, before this daemon has sent it there.
 const PRIMARY_WARM_PROBABILITY: f64 = 0.9;
-/// The same for its other home.
+/// The same for the other home.
 const SECONDARY_WARM_PROBABILITY: f64 = 0.2;
-/// How the part of the objects that live near falls with the region's part of the slots: a region that is short of
-/// servers keeps less than these could carry when all objects are new to them, as at the start.
+/// Exponent by which the share of objects with a near primary home falls with the region's share of slots. A region
+/// that is short of servers keeps fewer objects than its servers could carry if all objects were cold, as at a start.
 const SHORTAGE_EXPONENT: f64 = 1.5;
-/// Part of the target that it is worth not to bring a server an object that is new to it: such work is late in any
-/// case, and drives another object out.
+/// Cost of sending a cold object to a server, as a fraction of the target: such work is late in any case, and evicts
+/// another object.
 const COLD_COST: f64 = 1.0;
-/// Part of the target that bytes between regions are worth.
+/// Cost of traffic between regions, as a fraction of the target.
 const REMOTE_COST: f64 = 0.1;
-/// Part of the target that bytes between failure domains are worth.
+/// Cost of traffic between failure domains, as a fraction of the target.
 const DOMAIN_COST: f64 = 0.02;
-/// The way to another region and back.
+/// Network round trip to another region.
 const REMOTE_ROUND_TRIP: Duration = Duration::from_millis(30);
-/// The way to another failure domain and back.
+/// Network round trip to another failure domain of the region.
 const DOMAIN_ROUND_TRIP: Duration = Duration::from_millis(3);
-/// Requests at one server at most, for each of its slots.
+/// Maximum load of a server for each of its slots.
 const MAX_LOAD_PER_SLOT: f64 = 4.0;
-/// Requests of ours at a server that has not told its load yet, at most.
+/// Maximum number of this daemon's requests at a server that has not reported its load yet.
 const MAX_UNREPORTED: u32 = 1;
-/// The same at the home where the request's object lives: elsewhere it would be one more server's work to learn it.
+/// The same at the primary home of the request's object: sent elsewhere, the object would be cold at one more server.
 const MAX_UNREPORTED_AT_PRIMARY: u32 = 2;
-/// Slots that work which will be late leaves free.
+/// Slots that requests which will miss the target must leave free.
 const RESERVED_SLOTS: f64 = 1.0;
-/// Time between two guesses of what servers do that have not told their load.
+/// Interval between estimates of the load of servers without a report.
 const ESTIMATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The servers that serve an object now, near and elsewhere.
+/// The home servers of an object, near and far; `None` where no server is available.
 pub(super) type Homes = [Option<BackendId>; 2];
 
 /// A server that may run work on an object.
 struct Home {
     id: BackendId,
-    /// Whether the object lives there rather than at its other home.
+    /// Whether this is the primary home of the object.
     is_primary: bool,
-    /// How likely the object is warm there if we have not seen it.
+    /// Probability that the object is warm there if this daemon has not sent it there recently.
     warm_probability: f64,
 }
 
 impl Engine {
-    /// The server for the next attempt of a request about `object`, `None` if it has to wait; and its homes.
+    /// Picks the server for the next attempt of a request about `object`, `None` if the request has to wait; also
+    /// returns its homes.
     pub(super) fn pick_keyed(&self, state: &Request, object: u64, now: Time) -> (Option<BackendId>, Homes) {
         let score = |home: Home| {
             let server = self.backends.get(&home.id)?;
@@ -73,7 +74,7 @@
         (scored.min_by(|one, other| one.0.total_cmp(&other.0)).map(|(_, id)| id), ids)
     }
 
-    /// What the two servers of a request's object could do for it now, for logs.
+    /// Returns the load and the expected latency of both home servers, for logs.
     pub(super) fn candidates(&self, state: &Request, now: Time) -> [Option<Candidate>; 2] {
         let Some(object) = state.object else {
             return [None, None];
@@ -92,7 +93,7 @@
         })
     }
 
-    /// The two servers that serve the object, near and elsewhere, whether they can take a request now or not.
+    /// Returns the home servers of the object, near and far, whether or not they can take a request now.
     fn homes(&self, state: &Request, object: u64, now: Time) -> [Option<Home>; 2] {
         let service = usize::from(state.service);
         let Some([near, far]) = self.tiers.get(service) else {
@@ -107,8 +108,8 @@
         [home(near, primary_near), home(far, !primary_near)]
     }
 
-    /// The first of `servers` in the object's order that serves. Few of them are looked up: only those that come before
-    /// all that were seen so far.
+    /// Returns the highest ranked available server of `servers` for the object. Only servers that rank above the best
+    /// one so far are looked up.
     fn home_in(&self, servers: &[BackendId], state: &Request, object: u64, now: Time) -> Option<BackendId> {
         let class = &self.classes[state.class].spec;
         let usable = |id: &BackendId| {
@@ -128,8 +129,8 @@
         first.map(|(_, id)| id)
     }
 
-    /// The part of a service's objects that live near: all of them, or fewer where the region has less than its even
-    /// part of the slots.
+    /// Returns the share of a service's objects whose primary home is near: all of them, or fewer where the region has
+    /// less than an even share of the slots.
     pub(super) fn near_share(&self, service: usize) -> f64 {
         let Some([near, far]) = self.tiers.get(service) else {
             return 1.0;
@@ -147,8 +148,8 @@
         (regions as f64 * near / (near + far)).min(1.0).powf(SHORTAGE_EXPONENT)
     }
 
-    /// Takes servers that have not told their load to be as busy as the others of their service: those nobody has
-    /// asked yet are not empty.
+    /// Assumes that servers without a load report are as busy as the others of their service: servers that this daemon
+    /// has not used yet are not idle.
     pub(super) fn estimate_loads(&mut self, service: u16, now: Time) {
         let last = self.loads_estimated_at.entry(service).or_insert(Time::ZERO);
         if now.since(*last) < ESTIMATE_INTERVAL {
@@ -162,7 +163,8 @@
         servers.for_each(|server| server.assume_others(sum / f64::max(count, 1.0)));
     }
 
-    /// Whether a server can be sent a request now that would be answered after `finish`: in time, or on a free slot.
+    /// Returns whether a request may be sent to a server now if its answer takes `latency`: either it meets the
+    /// target, or a slot is free.
     fn accepts(&self, server: &Backend, state: &Request, latency: Duration, is_primary: bool, now: Time) -> bool {
         if !server.admits(now) || server.at_resume_limit() || !self.link_has_capacity(server.spec.place, state, now) {
             return false;
@@ -180,7 +182,8 @@
         in_time || load < slots - RESERVED_SLOTS
     }
 
-    /// Time to the answer if the request is sent to `server`, where its object is warm with likelihood `warm`.
+    /// Returns the time to the answer if the request is sent to `server`, where its object is warm with the given
+    /// probability.
     fn expected_latency(&self, server: &Backend, state: &Request, warm_probability: f64, now: Time) -> Duration {
         let class = &self.classes[state.class];
         let round_trip = match server.spec.place {
@@ -194,7 +197,7 @@
         round_trip + (work + class.work.warm().mul_f64(ahead)).mul_f64(server.pace(now))
     }
 
-    /// What it costs besides time to run the request at `server`, in seconds.
+    /// Returns the cost, besides latency, of running the request at `server`, in seconds.
     fn placement_cost(&self, server: &Backend, state: &Request, warm_probability: f64) -> f64 {
         let target = self.classes[state.class].spec.target.as_secs_f64();
         let distance = match server.spec.place {
--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of dispatch.
+//! The dispatch engine: a state machine that assigns requests to backend servers.
 
 mod answer;
 mod decision;
@@ -28,47 +28,52 @@
 use crate::quarantine::Quarantine;
 use crate::warmth::Warmth;
 
-/// Time after which waiting requests are looked at again.
+/// Interval at which waiting requests are tried again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// The same where only requests about objects wait.
+/// The same while only held requests (those about objects) wait.
 const HELD_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Decides what runs where.
+/// Assigns requests to backend servers and decides on retries, hedges and refusals.
 #[derive(Debug, Clone)]
 pub struct Engine {
     limits: Limits,
     classes: Vec<Class>,
+    /// Positions of the classes, by rank.
     priority_order: Vec<usize>,
     backends: BTreeMap<BackendId, Backend>,
-    /// For each service: servers of our region, and servers elsewhere.
+    /// For each service, by position: the servers of this region, and those of other regions.
     tiers: Vec<[Vec<BackendId>; 2]>,
+    /// Links to other regions, by region.
     links: BTreeMap<u16, Link>,
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<u64, Attempt>,
     timers: BTreeSet<(Time, Timer)>,
-    /// Requests about objects that wait for a home, by service.
+    /// Requests about objects that wait for one of their home servers, by service.
     held: BTreeMap<u16, Vec<u64>>,
-    /// When waiting requests are looked at again.
+    /// When waiting requests are tried again; `None` if no recheck is scheduled.
     recheck_at: Option<Time>,
     next_attempt: u64,
     picks: u64,
+    /// Requests in the queues of the classes; held ones are not counted.
     queued: usize,
     hedges: Budget,
     retries: Budget,
-    /// Hedges and retries together, by service.
+    /// Budget of hedges and retries together, by service.
     repeats: BTreeMap<u16, Budget>,
     warmth: Warmth,
     announcements: Announcements,
-    /// Until when what is believed of servers is not acted on.
+    /// Until when nothing is sent after a stall of the process, as the state of servers may be out of date.
     suspended_until: Time,
-    /// When the last pause ends that a server asked for.
+    /// When the last of the announced pauses ends.
     last_pause_end: Time,
-    /// Parts of the objects that live near, by service.
+    /// Share of the objects whose primary home is in this region, by service.
     near_shares: Vec<f64>,
-    /// When the loads of servers that told none were last guessed, by service.
+    /// When the load of servers without a report was last estimated, by service.
     loads_estimated_at: BTreeMap<u16, Time>,
     quarantine: Quarantine,
+    /// Losses observed since they were last taken, as fingerprint and number of the loss.
     losses: Vec<(u64, u64)>,
+    /// Makes the numbers of losses unique among daemons.
     loss_seed: u64,
     rng: fastrand::Rng,
     actions: Vec<Action>,
@@ -79,7 +84,7 @@
 }
 
 impl Engine {
-    /// An engine without backend servers; equal seeds make equal choices.
+    /// Creates an engine without backend servers. Engines with equal seeds make equal random choices.
     pub fn new(classes: Vec<class::Spec>, limits: Limits, seed: u64) -> Self {
         let mut engine = Self {
             limits,
@@ -119,42 +124,42 @@
         engine
     }
 
-    /// Takes no new requests from now on; those here are finished.
+    /// Refuses new requests from now on; open requests are still finished.
     pub const fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Requests that are refused because they crash servers, by fingerprint.
+    /// Returns the number of fingerprints whose requests are refused because they crashed servers.
     pub fn quarantined(&self, now: Time) -> usize {
         self.quarantine.count(now)
     }
 
-    /// Requests here.
+    /// Returns the number of open requests, waiting or running.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests, held ones included.
     pub fn queued(&self) -> usize {
         self.queued + self.held()
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Choices of a server so far, those that found none among them: what deciding costs.
+    /// Returns how often a server has been picked, fruitless picks included: a measure of the cost of dispatch.
     pub const fn picks(&self) -> u64 {
         self.picks
     }
 
-    /// Backend servers, for showing.
+    /// Returns the backend servers with their observed state.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends.values()
     }
 
-    /// A new request; its answer comes as an action.
+    /// Submits a new request; its answer follows as an [`Action::Answer`].
     pub fn submit(&mut self, arrival: Arrival, now: Time) {
         let Arrival { request, class, fingerprint, bytes, timeout, object } = arrival;
         let service = self.classes[class].next_service();
@@ -206,7 +211,7 @@
         }
         let first = self.classes[class].queue.is_empty();
         self.enqueue(request, false);
-        // Behind others that wait there is nothing to try: they could not be placed.
+        // If others of its class wait already, the request cannot be placed either.
         if first {
             self.dispatch_class(class, now);
         }
@@ -215,10 +220,10 @@
         }
     }
 
-    /// The caller went away: nothing more is done for the request.
+    /// Drops a request whose caller disconnected.
     pub fn abandon(&mut self, request: u64, now: Time) {
         if let Some(state) = self.remove_request(request) {
-            // Work that must not run twice goes on: broken off, nobody would know what became of it.
+            // Work that must not run twice continues: after a cancellation its outcome would be unknown.
             if self.classes[state.class].spec.idempotent {
                 self.cancel_all(&state.live);
             }
@@ -226,7 +231,7 @@
         self.dispatch_waiting(now);
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt, and dispatches requests that wait for its server.
     pub fn finish(&mut self, attempt: u64, ending: Ending, now: Time) {
         let Some(ended) = self.attempts.remove(&attempt) else {
             return;
@@ -237,7 +242,7 @@
         self.dispatch_waiting_for(Some(ended.backend), now);
     }
 
-    /// Does what is due at `now`.
+    /// Runs the timers that are due at `now`.
     pub fn tick(&mut self, now: Time) {
         let mut recheck = false;
         while let Some((at, timer)) = self.timers.first().copied() {
@@ -257,12 +262,13 @@
         }
     }
 
-    /// When `tick` has something to do next.
+    /// Returns when `tick` is due next; `None` if no timer is set.
     pub fn next_wakeup(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Takes the actions decided since the last call; notes that were not taken before are dropped.
+    /// Takes the actions decided since the last call. Drops decisions that were not taken before, so call
+    /// `take_decisions` first.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.decisions.clear();
         std::mem::take(&mut self.actions)
--- a/crates/dispatch/src/engine/pick.rs
+++ b/crates/dispatch/src/engine/pick.rs
@@ -1,4 +1,4 @@
-//! Choice of a backend server.
+//! Picks a backend server for a request.
 
 use std::time::Duration;
 
@@ -9,29 +9,29 @@
 use super::{Action, Attempt, Basis, Engine, Request, Timer};
 use crate::backend::{Backend, BackendId, Place};
 
-/// Time's worth of a link's rate that may pass in one burst.
+/// Burst that may pass over a link, as time at the link's rate.
 pub(super) const LINK_BURST: Duration = Duration::from_millis(100);
-/// Usable servers that are compared.
+/// Number of usable servers that are compared.
 const CHOICES: u32 = 2;
-/// Random servers looked at to find them.
+/// Number of random samples taken to find them.
 const MAX_SAMPLES: usize = 8;
-/// Servers looked at when no sample will do.
+/// Number of servers scanned if no sample is usable.
 const MAX_SCANNED: usize = 32;
-/// Wait from which another region is worth its way.
+/// Wait from which a request may go to another region.
 const REMOTE_WAIT_THRESHOLD: Duration = Duration::from_millis(30);
-/// How many times as long as usual work takes at a server that another region's is better than.
+/// Latency ratio from which a server is slow enough to consider another region.
 const SLOW_RATIO: f64 = 3.0;
-/// How many times slower than a far server a near one must be to be passed over.
+/// How many times slower than a server of another region a near one must be to lose the request to it.
 const MIN_FAR_SPEEDUP: f64 = 1.5;
 /// Cost of a server in another failure domain, in requests.
 const DOMAIN_COST: f64 = 0.2;
-/// Part of a tier's servers that may be ejected at once.
+/// Maximum fraction of a tier's servers that may be ejected for late answers at the same time.
 const MAX_EJECTED_RATIO: f64 = 0.5;
-/// Requests beyond its slots that a server is trusted to queue when all reports say it is full.
+/// Requests above its slots that a server without attempts of ours still gets, when all reports say that it is full.
 const OVERBOOKING: f64 = 1.0;
 
 impl Engine {
-    /// The server for the next attempt of `request`; `None` if it has to wait.
+    /// Picks the server for the next attempt of `request`; returns `None` if the request has to wait.
     pub(super) fn pick(&mut self, request: u64, now: Time) -> Option<BackendId> {
         self.picks += 1;
         #[cfg(feature = "policies")]
@@ -61,7 +61,7 @@
         if slow && !self.far_is_faster(far, near) { near } else { far.or(near) }
     }
 
-    /// Whether work at `far` has been quicker than at `near` by enough, the way there included.
+    /// Returns whether requests at `far` are sufficiently faster than at `near`, network latency included.
     fn far_is_faster(&self, far: Option<BackendId>, near: Option<BackendId>) -> bool {
         let ratio = |id: Option<BackendId>| id.and_then(|id| self.backends.get(&id)).map(Backend::latency_ratio);
         matches!((ratio(far), ratio(near)), (Some(far), Some(near)) if far * MIN_FAR_SPEEDUP < near)
@@ -115,7 +115,7 @@
         self.actions.push(Action::Start { request, attempt, backend, deadline, retry, basis });
     }
 
-    /// An attempt is late: the server is marked, and the request hedged if that is allowed.
+    /// Handles an attempt that is late: marks its server, and hedges the request if that is allowed.
     pub(super) fn handle_late(&mut self, attempt: u64, now: Time) {
         let may_eject = self.attempts.get(&attempt).is_some_and(|live| self.may_eject(live.backend));
         let Some(live) = self.attempts.get_mut(&attempt) else {
@@ -149,7 +149,7 @@
         self.start(request, second, now);
     }
 
-    /// Whether one more server of the tier may be ejected.
+    /// Returns whether one more server of the tier of `backend` may be ejected for late answers.
     pub(super) fn may_eject(&self, backend: BackendId) -> bool {
         let Some(server) = self.backends.get(&backend) else {
             return false;
@@ -164,8 +164,8 @@
         (suspects + 1) as f64 <= members.len() as f64 * MAX_EJECTED_RATIO
     }
 
-    /// Takes servers back that were ejected for late answers, if no other server is left for the work of `request`; says
-    /// whether there were any. Late answers are better than none.
+    /// Reinstates servers that were ejected for late answers if no other server is left for `request`, as late answers
+    /// are better than none. Returns whether it reinstated any.
     pub(super) fn reinstate_slow(&mut self, request: u64, now: Time) -> bool {
         let Some(state) = self.requests.get(&request) else { return false };
         let (class, service) = (state.class, usize::from(state.service));
@@ -186,7 +186,7 @@
         reinstated.count() > 0
     }
 
-    /// Why `request` can never be sent before its deadline, if so.
+    /// Returns why `request` cannot be sent before its deadline; `None` if it may be.
     pub(super) fn unplaceable(&self, request: u64) -> Option<Kind> {
         let state = self.requests.get(&request)?;
         let service = usize::from(state.service);
@@ -216,13 +216,13 @@
         None
     }
 
-    /// Until when a request waits for a server.
+    /// Returns until when a request waits for a server.
     pub(super) fn wait_deadline(&self, state: &Request) -> Time {
         let target = state.arrived + self.classes[state.class].spec.target;
         if state.object.is_some() { target.min(state.deadline) } else { state.deadline }
     }
 
-    /// Whether we may use the region of a server at all.
+    /// Returns whether this daemon has any share of a server's region.
     fn remote_granted(&self, place: Place) -> bool {
         let Place::Remote(region) = place else { return true };
         self.links.get(&region).is_some_and(|link| link.max_in_flight > 0)
@@ -237,7 +237,7 @@
         let mut compared = 0;
         for _ in 0..MAX_SAMPLES {
             let id = members[self.rng.usize(..members.len())];
-            // A server is not compared with itself.
+            // The current best is not compared with itself.
             if best.is_some_and(|(_, known)| known == id) {
                 continue;
             }
@@ -256,7 +256,7 @@
         best.map(|(_, id)| id)
     }
 
-    /// Takes a server into the comparison if it is usable; says whether it is.
+    /// Compares a server with the best one so far if it is usable; returns whether it is.
     fn consider(&self, id: BackendId, state: &Request, now: Time, best: &mut Option<(f64, BackendId)>) -> bool {
         let Some(server) = self.backends.get(&id) else {
             return false;
@@ -283,7 +283,7 @@
         if !spec.allows(server.spec.region) {
             return false;
         }
-        // A server on trial gets nothing that must not run twice.
+        // A server on probation gets no work that must not run twice while a healthy server remains.
         if server.suspect() && !spec.idempotent && self.has_healthy_alternative(server, now) {
             return false;
         }
@@ -298,7 +298,8 @@
         load < slots || (server.in_flight == 0 && load < slots + OVERBOOKING)
     }
 
-    /// Waiting work takes one slot of a server that it is dealt, and leaves one free unless it has aged.
+    /// Waiting work takes one slot of a server that this daemon hosts, and leaves another one free unless the work has
+    /// aged.
     fn accepts_waiting_work(&self, server: &Backend, state: &Request, now: Time) -> bool {
         if server.waiting_in_flight > 0 {
             return false;
@@ -323,7 +324,7 @@
         tiers.iter().flatten().any(healthy)
     }
 
-    /// Whether work may leave the region: it has nothing there, or would wait too long.
+    /// Returns whether a request may leave the region: no server here serves it, or it would wait too long.
     fn remote_allowed(&self, service: usize, state: &Request, now: Time) -> bool {
         let Some(tiers) = self.tiers.get(service) else {
             return false;
@@ -341,8 +342,8 @@
         now.since(state.arrived) >= REMOTE_WAIT_THRESHOLD || self.expected_wait(state.class) >= REMOTE_WAIT_THRESHOLD
     }
 
-    /// Whether the link and the other region have room within our share. Answers of a class that none was seen of may
-    /// be of any size, so they cross a link with a cap one by one.
+    /// Returns whether the link and the other region have capacity left in our share. Until a class has had an answer,
+    /// its answers may be of any size, so they cross a capped link one at a time.
     pub(super) fn link_has_capacity(&self, place: Place, state: &Request, now: Time) -> bool {
         let Place::Remote(region) = place else { return true };
         let Some(link) = self.links.get(&region) else {
@@ -356,7 +357,7 @@
         link.in_flight < link.max_in_flight && link.bucket.clone().level(now) >= bytes
     }
 
-    /// Takes the link's bytes of an attempt in advance, by the busier direction.
+    /// Reserves a link's bytes for an attempt: the larger of its request and its expected answer.
     fn reserve_link(&mut self, place: Place, class: usize, bytes: f64, now: Time) -> Option<Reservation> {
         let Place::Remote(region) = place else { return None };
         let link = self.links.get_mut(&region)?;
--- a/crates/dispatch/src/engine/policy.rs
+++ b/crates/dispatch/src/engine/policy.rs
@@ -1,27 +1,27 @@
-//! Plain policies, as baselines for replay.
+//! Plain policies, the baselines that replay compares with.
 //!
-//! They send each request at once, to any server of the service that is not leaving, and never hedge, eject
-//! or keep work apart.
+//! They send each request at once to some server of the service that is not leaving, and never hedge, eject or keep
+//! work apart.
 
 use super::Engine;
 use crate::backend::BackendId;
 
-/// How servers are chosen.
+/// How servers are picked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Policy {
-    /// The product's own choice.
+    /// The engine's regular choice.
     #[default]
     Steered,
     /// One server after the other.
     RoundRobin,
-    /// Any server.
+    /// A random server.
     Random,
-    /// The server with the fewest of our requests in flight.
+    /// The server with the fewest requests of this daemon in flight.
     LeastInFlight,
 }
 
 impl Engine {
-    /// Sets how servers are chosen.
+    /// Sets how servers are picked.
     pub const fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
--- a/crates/dispatch/src/engine/queue.rs
+++ b/crates/dispatch/src/engine/queue.rs
@@ -1,4 +1,4 @@
-//! Waiting requests: order of loss, early refusal, ageing.
+//! Waiting requests without an object: order of priority, early refusal, ageing.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::backend::BackendId;
 
 impl Engine {
-    /// Why a request of `class` cannot be taken at all; makes room for it if it comes before others.
+    /// Returns why a request of `class` cannot be accepted. If the queue is full, drops a waiting request of lower
+    /// priority for it.
     pub(super) fn admission_error(&mut self, class: usize, fingerprint: u64, now: Time) -> Option<Kind> {
         if self.stopping {
             return Some(Kind::Leaving);
@@ -26,7 +27,7 @@
         None
     }
 
-    /// Puts a request into its queue: first if it was tried before.
+    /// Puts a request into the queue of its class, at the front if it was sent before.
     pub(super) fn enqueue(&mut self, request: u64, at_front: bool) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
@@ -41,12 +42,13 @@
         }
     }
 
-    /// Starts what can be started, in the order of loss, aged waiting work first.
+    /// Sends the waiting requests that can be sent, by priority, aged waiting work first.
     pub(super) fn dispatch_waiting(&mut self, now: Time) {
         self.dispatch_waiting_for(None, now);
     }
 
-    /// The same after `freed` alone got room, if it is named: what waits for other servers is not looked at.
+    /// The same after an attempt at `freed` ended: of the held requests, tries only those that wait for `freed`.
+    /// `None` tries all.
     pub(super) fn dispatch_waiting_for(&mut self, freed: Option<BackendId>, now: Time) {
         if self.held() > 0 {
             self.dispatch_held(freed, now);
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Time a new request of `class` would wait, judged by what is in flight now.
+    /// Returns the expected wait of a new request of `class`, from its queue and its attempts in flight.
     pub(super) fn expected_wait(&self, class: usize) -> Duration {
         let class = &self.classes[class];
         let ahead = class.queue.len() as u32;
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Whether a request that was never sent cannot finish any more.
+    /// Returns whether a request is too close to its deadline to finish, at half the typical latency.
     fn cannot_finish(&self, request: u64, now: Time) -> bool {
         let Some(state) = self.requests.get(&request) else {
             return false;
@@ -122,7 +124,7 @@
         arrived.is_some_and(|arrived| self.classes[class].aged(arrived, now))
     }
 
-    /// Drops the newest waiting request of a class that is lost before `class`; says whether it did.
+    /// Drops the newest waiting request of the class of lowest priority below `class`; returns whether there was one.
     fn displace(&mut self, class: usize, now: Time) -> bool {
         let rank = self.classes[class].spec.rank;
         let lower_priority =
@@ -137,7 +139,8 @@
         true
     }
 
-    /// Plans a look at what waits: other daemons' work ends without our knowing.
+    /// Schedules another try of waiting requests: slots also become free when work of other daemons ends, without
+    /// notice.
     pub(super) fn schedule_recheck(&mut self, now: Time) {
         if self.recheck_at.is_none() {
             let at = now + if self.queued > 0 { RECHECK_INTERVAL } else { HELD_RECHECK_INTERVAL };
--- a/crates/dispatch/src/engine/state.rs
+++ b/crates/dispatch/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What the engine remembers of requests, attempts and links.
+//! State that the engine keeps of requests, attempts and links.
 
 use base::error::Kind;
 use base::rate;
@@ -12,22 +12,22 @@
     pub(super) class: usize,
     pub(super) service: u16,
     pub(super) object: Option<u64>,
-    /// The servers that served the object when one was chosen last.
+    /// The object's home servers when a server was last picked.
     pub(super) homes: Homes,
     pub(super) fingerprint: u64,
     pub(super) bytes: u64,
     pub(super) arrived: Time,
     pub(super) deadline: Time,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub(super) attempts: usize,
-    /// Servers that must not get it again: they failed it, or run it now.
+    /// Servers that must not get the request: an attempt there failed or is in flight.
     pub(super) excluded: Vec<BackendId>,
     pub(super) live: Vec<u64>,
     pub(super) hedged: bool,
     pub(super) queued: bool,
-    /// Whether the server that shed it last had a slot free.
+    /// Whether the server that shed the request last reported a free slot.
     pub(super) shed_with_free_slot: bool,
-    /// Set once an attempt may have run; the final error must then be an unknown outcome.
+    /// Set once an attempt may have run: the error whose outcome is unknown, which the final answer must then report.
     pub(super) may_have_run: Option<Kind>,
 }
 
@@ -35,9 +35,9 @@
 pub(super) struct Attempt {
     pub(super) request: u64,
     pub(super) class: usize,
-    /// Whether the server had handled the request's object lately; `None` for a request about none.
+    /// Whether the server had handled the request's object recently; `None` for a request without an object.
     pub(super) warm: Option<bool>,
-    /// Whether a slot was free there, as far as known, and its pace.
+    /// Whether the server had a free slot, as far as known, and its pace, both when the attempt started.
     pub(super) had_free_slot: bool,
     pub(super) pace: f64,
     pub(super) backend: BackendId,
@@ -47,12 +47,12 @@
     pub(super) reserved: Option<Reservation>,
 }
 
-/// What an attempt took of a link in advance.
+/// Capacity of a link that an attempt has reserved.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Reservation {
     pub(super) region: u16,
     pub(super) bytes: f64,
-    /// Whether an answer of the class had been seen.
+    /// Whether an answer of the class had been seen, so that `bytes` is an estimate.
     pub(super) answer_size_known: bool,
 }
 
@@ -67,9 +67,9 @@
 pub(super) struct Link {
     pub(super) max_in_flight: u32,
     pub(super) in_flight: u32,
-    /// Whether the link has no cap.
+    /// Whether no cap is declared for the link.
     pub(super) uncapped: bool,
-    /// Attempts in flight whose answers may be of any size.
+    /// Attempts in flight of classes whose answer size is not known yet.
     pub(super) unsized_in_flight: u32,
     pub(super) bucket: rate::Bucket,
 }
--- a/crates/dispatch/src/engine/waiting.rs
+++ b/crates/dispatch/src/engine/waiting.rs
@@ -1,9 +1,9 @@
-//! Requests about objects that no home takes now.
+//! Held requests: requests about objects that no home server accepts now.
 //!
-//! Load pattern: more comes at once than the homes of the objects can answer in time, as after an outage. A queue at
-//! the servers would make all of it late, and what comes after it too. So a server gets what it can still answer
-//! within the target; what it cannot takes the slots that stand free, waits here for one no longer than the target,
-//! and is refused then, while its caller still has time to come back.
+//! Load pattern: more requests arrive at once than the home servers can answer in time, as after an outage. A queue at
+//! the servers would make all of them late, and later requests too. So a server gets what it can still answer within
+//! the target. Other requests use free slots, or are held here until a slot is free, at most for the target; then they
+//! are refused, while their callers still have time to retry.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 use super::{Engine, Request};
 use crate::backend::{Backend, BackendId};
 
-/// Requests of one service that wait at most.
+/// Maximum number of held requests of one service.
 const MAX_HELD: usize = 256;
-/// Earliest time at which a caller that was refused for want of room should come back.
+/// Earliest time at which a caller refused for lack of capacity should retry.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Time over which the callers that were refused together should come back.
+/// Time over which callers that were refused together are spread.
 const RETRY_SPREAD: Duration = Duration::from_millis(500);
-/// Part of the time to the end of a pause, beyond it, over which callers that were refused for it should come back.
+/// Fraction of the remaining pause by which the retries of callers refused for it are spread further past its end.
 const PAUSE_SPREAD_RATIO: f64 = 0.5;
-/// The same for a caller whose request was refused by a server that had room: waiting makes no room there.
+/// The same times for a caller whose request was shed by a server with a free slot: waiting longer does not help.
 const FREE_SLOT_RETRY_DELAY: Duration = Duration::from_millis(10);
 const FREE_SLOT_RETRY_SPREAD: Duration = Duration::from_millis(30);
 
 impl Engine {
-    /// Sends a request about an object to a home that takes it, or lets it wait for one.
+    /// Sends a request about an object to a home that accepts it, or holds it.
     pub(super) fn place(&mut self, request: u64, now: Time) {
         if let Some(backend) = self.pick(request, now) {
             return self.start(request, backend, now);
@@ -51,13 +51,13 @@
         self.schedule_recheck(now);
     }
 
-    /// Requests that wait for a home.
+    /// Returns the number of held requests.
     pub(super) fn held(&self) -> usize {
         self.held.values().map(Vec::len).sum()
     }
 
-    /// Sends what a home takes now, in the order of loss, and refuses what has waited for too long; of what waits for
-    /// `freed` alone, if it is named.
+    /// Sends the held requests that a home accepts now, by priority, and refuses those that have waited too long.
+    /// `freed` limits this to requests with that home.
     pub(super) fn dispatch_held(&mut self, freed: Option<BackendId>, now: Time) {
         let services: Vec<u16> = self.held.iter().filter(|(_, held)| !held.is_empty()).map(|(id, _)| *id).collect();
         for service in services {
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Whether `server` is a home of a request that waits, as far as known.
+    /// Returns whether `server` is a home of a held request, or the request is unknown.
     fn waits_for(&self, request: u64, server: BackendId) -> bool {
         self.requests.get(&request).is_none_or(|state| state.homes.contains(&Some(server)))
     }
 
-    /// Tries to send or refuse a request that waits; says whether it goes on waiting.
+    /// Tries to send or refuse a held request; returns whether it stays held.
     fn keep_waiting(&mut self, request: u64, now: Time) -> bool {
         if !self.requests.contains_key(&request) {
             return false;
@@ -100,7 +100,7 @@
         state.map_or((u8::MAX, Time::MAX), |state| (self.classes[state.class].spec.rank, state.arrived))
     }
 
-    /// Whether a request has waited as long as it may, or could not be answered any more.
+    /// Returns whether a request has waited for its whole target, or can no longer be answered before its deadline.
     fn wait_exhausted(&self, request: u64, now: Time) -> bool {
         let Some(state) = self.requests.get(&request) else {
             return true;
@@ -109,7 +109,7 @@
         now.since(state.arrived) >= class.spec.target || now + class.work.warm() > state.deadline
     }
 
-    /// The first end of a pause among the servers that might run the work of `state`.
+    /// Returns the earliest time at which one of the servers that may run the work of `state` accepts work again.
     pub(super) fn pause_end(&self, state: &Request) -> Option<Time> {
         let spec = &self.classes[state.class].spec;
         let servers = self.tiers.get(usize::from(state.service)).into_iter().flatten().flatten();
@@ -117,8 +117,8 @@
         serving.filter(|server| spec.allows(server.spec.region)).map(Backend::available_at).min()
     }
 
-    /// When a caller that is refused for `kind` should come back, if the kind's usual time is too coarse; `pause_end` is
-    /// when servers take its work again.
+    /// Returns when a caller refused for `kind` should retry; `None` for the usual time of the kind. `free_slot` says
+    /// whether the server that shed the request had a free slot, `pause_end` when a server accepts its work again.
     pub(super) fn retry_after(
         &mut self,
         kind: Kind,
--- a/crates/dispatch/src/engine/world.rs
+++ b/crates/dispatch/src/engine/world.rs
@@ -1,4 +1,4 @@
-//! What the engine is told of the world: classes, servers, links, loads, losses.
+//! Updates of the engine's view: classes, servers, links, loads, announcements, losses.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::class::{self, Class};
 
 impl Engine {
-    /// Takes new targets; classes keep their positions, new ones follow.
+    /// Sets the classes. Known classes keep their positions and statistics, new ones follow.
     pub fn set_classes(&mut self, specs: Vec<class::Spec>) {
         for (index, spec) in specs.into_iter().enumerate() {
             match self.classes.get_mut(index) {
@@ -24,7 +24,8 @@
         self.priority_order.sort_by_key(|index| (self.classes[*index].spec.rank, *index));
     }
 
-    /// Takes the backend servers in use; those known keep what was seen of them.
+    /// Sets the backend servers in use. Known servers keep their observed state; removed ones stay, as leaving, while
+    /// attempts run there.
     pub fn set_backends(&mut self, specs: Vec<Spec>, now: Time) {
         let mut kept = BTreeMap::new();
         for spec in specs {
@@ -51,7 +52,7 @@
         self.dispatch_waiting(now);
     }
 
-    /// Sets what may be used of another region and the link to it.
+    /// Sets this daemon's share of another region and of the link to it.
     pub fn set_remote(&mut self, region: u16, remote: Remote, now: Time) {
         let burst = (remote.bytes_per_second * pick::LINK_BURST.as_secs_f64()).max(0.0);
         let link = self.links.entry(region).or_insert_with(|| Link {
@@ -66,7 +67,7 @@
         link.bucket.set_rate(remote.bytes_per_second, burst, now);
     }
 
-    /// Changes how much extra work may be caused from now on.
+    /// Sets the budgets for hedges and retries.
     pub fn set_budgets(&mut self, budgets: Budgets) {
         self.limits.budgets = budgets;
         self.hedges.set(budgets.hedge_ratio, budgets.hedge_burst);
@@ -76,14 +77,15 @@
         }
     }
 
-    /// Takes in a load report that came with an answer; what waits is looked at when that answer is taken in.
+    /// Records a load report that arrived with an answer, without dispatching waiting requests; the end of the attempt
+    /// does that.
     pub fn record_report(&mut self, backend: BackendId, report: Report) {
         if let Some(backend) = self.backends.get_mut(&backend) {
             backend.report(report);
         }
     }
 
-    /// Takes in a load report of a backend server.
+    /// Records a load report of a backend server and dispatches waiting requests.
     pub fn apply_report(&mut self, backend: BackendId, report: Report, now: Time) {
         if let Some(backend) = self.backends.get_mut(&backend) {
             backend.report(report);
@@ -91,8 +93,8 @@
         self.dispatch_waiting(now);
     }
 
-    /// A backend server said that it leaves, to us or to a peer; says whether that is news. What waits for it goes
-    /// elsewhere.
+    /// Records that a backend server announced, here or to a peer, that it is leaving. Requests that wait for it are
+    /// sent elsewhere. Returns whether this is new.
     pub fn record_leaving(&mut self, backend: BackendId, until: Time, now: Time) -> bool {
         if !self.announcements.record_leaving(backend, until, now) {
             return false;
@@ -110,7 +112,7 @@
         is_new
     }
 
-    /// A backend server that turned a request away wants nothing from us for `pause`.
+    /// Records that a backend server, when it turned a request away, asked for a pause of this length.
     pub fn record_pause(&mut self, backend: BackendId, pause: Duration, now: Time) {
         self.announcements.record_pause(backend, pause, now);
         if let Some(server) = self.backends.get_mut(&backend) {
@@ -120,13 +122,13 @@
         }
     }
 
-    /// The backend servers that said that they leave.
+    /// Returns the backend servers that announced that they are leaving.
     pub fn leaving_backends(&self, now: Time) -> impl Iterator<Item = BackendId> {
         self.announcements.leaving(now)
     }
 
-    /// The process stood still for `stood`, so what is believed of servers may not hold any more: nothing is sent until
-    /// `until`, or until it is trusted again. Servers are not blamed for that time.
+    /// Suspends dispatch after the process stood still for `stall`, as the state of servers may be out of date:
+    /// nothing is sent until `until` or `resume`. The time of the stall is not held against servers.
     pub fn suspend(&mut self, stall: Duration, until: Time) {
         self.suspended_until = self.suspended_until.max(until);
         for (number, attempt) in &mut self.attempts {
@@ -138,29 +140,29 @@
         }
     }
 
-    /// What is believed holds: sends what has waited.
+    /// Resumes dispatch once the state of servers is confirmed, and sends waiting requests.
     pub fn resume(&mut self, now: Time) {
         self.suspended_until = Time::ZERO;
         self.dispatch_waiting(now);
     }
 
-    /// Whether a request may still be sent to `backend`: what was decided a moment ago may not hold any more.
+    /// Returns whether a request may still be sent to `backend`: the state may have changed since the choice was made.
     pub fn may_send(&self, backend: BackendId, now: Time) -> bool {
         let confirmed = now >= self.suspended_until;
         confirmed && self.backends.get(&backend).is_some_and(|server| !server.leaving() && !server.paused(now))
     }
 
-    /// Takes in losses that peers saw; gives those that were news, to be passed on.
+    /// Records losses that peers observed; returns those that were new, to be passed on.
     pub fn merge_losses(&mut self, losses: &[(u64, u64)], now: Time) -> Vec<(u64, u64)> {
         losses.iter().filter(|(fingerprint, loss)| self.apply_loss(*fingerprint, *loss, now)).copied().collect()
     }
 
-    /// The losses for which requests with `fingerprint` are refused; none if they are not.
+    /// Returns the losses for which requests with `fingerprint` are refused; empty if they are not.
     pub fn quarantine_losses(&self, fingerprint: u64, now: Time) -> Vec<(u64, u64)> {
         self.quarantine.losses(fingerprint, now)
     }
 
-    /// Losses seen here since the last call, for peers.
+    /// Takes the losses observed here since the last call, for peers.
     pub fn take_losses(&mut self) -> Vec<(u64, u64)> {
         std::mem::take(&mut self.losses)
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,7 +1,7 @@
-//! Dispatch decisions: which backend server runs which request, when to retry, hedge, cancel or refuse.
+//! Dispatch decisions: which backend server runs which request, and when to retry, hedge, cancel or refuse it.
 //!
-//! [`Engine`] is a plain state machine. Events and the present time go in, [`Action`]s come out. The same code
-//! runs under sockets, under replay and under property tests.
+//! [`Engine`] is a plain state machine. Events and the current time go in, [`Action`]s come out. The same code runs
+//! behind sockets, in replay and in property tests.
 
 pub mod announcements;
 pub mod backend;
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -1,19 +1,20 @@
-//! Requests that crash the backend servers that run them.
+//! Refuses requests that crash the backend servers that run them.
 //!
-//! Each loss of a connection while a request ran is remembered by the request's fingerprint. Losses are a set,
-//! so daemons merge what they saw in any order and any number of times.
+//! Each loss of a connection while a request ran is stored under the request's fingerprint. Losses are a set, so
+//! daemons can merge each other's losses in any order and any number of times.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use base::time::Time;
 
-/// Losses after which a fingerprint is refused.
+/// Number of losses after which a fingerprint is refused.
 pub const QUARANTINE_THRESHOLD: usize = 2;
-/// Time after a whole answer during which losses are not counted: what was answered lately crashes nobody, and what
-/// many callers ask for is under way whenever a server goes away.
+/// Time after a complete answer during which losses of the fingerprint are not counted. A request that was answered
+/// recently does not crash servers, and one that many callers send is in flight whenever a server fails for another
+/// reason.
 const CLEARED_FOR: Duration = Duration::from_secs(10);
-/// Fingerprints remembered at most; the oldest go first.
+/// Maximum number of fingerprints; the oldest are evicted first.
 const MAX_ENTRIES: usize = 4_096;
 
 #[derive(Debug, Clone, Default)]
@@ -27,18 +28,18 @@
 pub struct Quarantine {
     retention: Duration,
     records: BTreeMap<u64, Record>,
-    /// When each fingerprint was answered whole last.
+    /// When each fingerprint last got a complete answer.
     answered_at: BTreeMap<u64, Time>,
 }
 
 impl Quarantine {
-    /// Remembers each loss for `kept`.
+    /// Creates an empty set that refuses a fingerprint for `retention` after its last loss.
     pub const fn new(retention: Duration) -> Self {
         Self { retention, records: BTreeMap::new(), answered_at: BTreeMap::new() }
     }
 
-    /// Notes that the loss with the unique number `loss` happened to `fingerprint`; says whether that is news
-    /// that counts.
+    /// Records a loss, identified by the unique number `loss`, of a request with `fingerprint`; returns whether it is
+    /// new and counts.
     pub fn record_loss(&mut self, fingerprint: u64, loss: u64, now: Time) -> bool {
         self.evict(now);
         if self.answered_at.get(&fingerprint).is_some_and(|at| now.since(*at) < CLEARED_FOR) {
@@ -52,7 +53,7 @@
         is_new
     }
 
-    /// A request with `fingerprint` was answered whole: its losses were not its doing.
+    /// Records a complete answer to `fingerprint`, which clears its losses.
     pub fn clear(&mut self, fingerprint: u64, now: Time) {
         self.records.remove(&fingerprint);
         if self.answered_at.len() >= MAX_ENTRIES {
@@ -64,7 +65,7 @@
         self.answered_at.insert(fingerprint, now);
     }
 
-    /// Whether `fingerprint` is refused.
+    /// Returns whether requests with `fingerprint` are refused.
     pub fn is_quarantined(&self, fingerprint: u64, now: Time) -> bool {
         let record = self.records.get(&fingerprint);
         record.is_some_and(|record| {
@@ -72,14 +73,14 @@
         })
     }
 
-    /// The losses for which `fingerprint` is refused; none if it is not.
+    /// Returns the losses for which `fingerprint` is refused; empty if it is not.
     pub fn losses(&self, fingerprint: u64, now: Time) -> Vec<(u64, u64)> {
         let quarantined = self.is_quarantined(fingerprint, now);
         let record = self.records.get(&fingerprint).filter(|_| quarantined);
         record.into_iter().flat_map(|record| &record.losses).map(|loss| (fingerprint, *loss)).collect()
     }
 
-    /// Fingerprints refused.
+    /// Returns the number of fingerprints that are refused.
     pub fn count(&self, now: Time) -> usize {
         self.records.keys().filter(|fingerprint| self.is_quarantined(**fingerprint, now)).count()
     }
--- a/crates/dispatch/src/samples.rs
+++ b/crates/dispatch/src/samples.rs
@@ -1,14 +1,14 @@
-//! The median of recent times.
+//! Running median of durations.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Times kept.
+/// Number of recent durations that are kept.
 const MAX_TIMES: usize = 128;
-/// Times between two computations of the median.
+/// Number of new durations after which the median is computed again.
 const REFRESH_INTERVAL: usize = 16;
 
-/// Recent times and their median.
+/// Recent durations and their median.
 #[derive(Debug, Clone)]
 pub struct Samples {
     times: VecDeque<u32>,
@@ -17,12 +17,12 @@
 }
 
 impl Samples {
-    /// No times; the median is taken to be `first` until there are some.
+    /// Creates an empty set whose median is `first` until a duration is recorded.
     pub const fn new(first: Duration) -> Self {
         Self { times: VecDeque::new(), since_refresh: 0, median: first }
     }
 
-    /// Takes in a time.
+    /// Records a duration.
     pub fn record(&mut self, time: Duration) {
         if self.times.len() == MAX_TIMES {
             self.times.pop_front();
@@ -35,12 +35,12 @@
         }
     }
 
-    /// The median of recent times; a third of outliers does not move it far.
+    /// Returns the median of recent durations, which a third of outliers does not move far.
     pub const fn median(&self) -> Duration {
         self.median
     }
 
-    /// Whether no time was seen yet.
+    /// Returns whether no duration was recorded yet.
     pub fn is_empty(&self) -> bool {
         self.times.is_empty()
     }
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -1,15 +1,15 @@
-//! Spreading the requests of a class over several services by weight.
+//! Splits the requests of a class over several services by weight.
 
-/// A service's part of a class's requests.
+/// A service's share of the requests of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share {
-    /// The service, by position.
+    /// The service, by position in the list of services.
     pub service: u16,
-    /// Its weight among the parts.
+    /// Its weight relative to the other shares.
     pub weight: u32,
 }
 
-/// Deals requests out so that each part has its share at any time, not only on average.
+/// Weighted round-robin over services: each gets its share at any time, not only on average.
 #[derive(Debug, Clone, Default)]
 pub struct Split {
     shares: Vec<Share>,
@@ -17,19 +17,19 @@
 }
 
 impl Split {
-    /// A split between `parts`; parts without weight get nothing.
+    /// Creates a split; shares with weight zero get nothing.
     pub fn new(shares: &[Share]) -> Self {
         let shares: Vec<Share> = shares.iter().copied().filter(|share| share.weight > 0).collect();
         let credits = vec![0; shares.len()];
         Self { shares, credits }
     }
 
-    /// Whether the split is between `parts`.
+    /// Returns whether the split has these shares.
     pub fn has_shares(&self, shares: &[Share]) -> bool {
         shares.iter().filter(|share| share.weight > 0).eq(self.shares.iter())
     }
 
-    /// The service of the next request; `None` if there is no part.
+    /// Returns the service of the next request; `None` if there are no shares.
     pub fn next_service(&mut self) -> Option<u16> {
         let total: i64 = self.shares.iter().map(|share| i64::from(share.weight)).sum();
         for (credit, share) in self.credits.iter_mut().zip(&self.shares) {
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -1,13 +1,13 @@
 //! Which backend servers a daemon uses, and which of them run its waiting work.
 //!
-//! Backend servers take a few hundred connections, so not every daemon may hold one to every server. All
-//! daemons compute the same assignment from the same membership, without a word between them.
+//! Backend servers accept a few hundred connections, so not every daemon may connect to every server. All daemons
+//! compute the same assignment from the same membership, without communication.
 
 use base::hash;
 
-/// Whether `daemon` uses `backend`, when each backend server is used by at most `most` of `daemons`.
+/// Returns whether `daemon` uses `backend`, when each backend server is used by at most `limit` of `daemons`.
 ///
-/// Ranks the daemons by a hash with the backend server; the first `most` use it.
+/// Ranks the daemons by a hash with the backend server; the first `limit` use it.
 pub fn uses(daemon: u64, daemons: &[u64], backend: u64, limit: usize) -> bool {
     if daemons.len() <= limit {
         return true;
@@ -17,11 +17,11 @@
     ranked_higher < limit
 }
 
-/// The part of what `backend` bears while it starts that `daemon` may send it, when `starters` daemons send it work; and
-/// whether it is one of them. The others may send theirs only to try a server that went away.
+/// Returns the share of the requests of `backend` in slow start that `daemon` may send, when `starters` daemons send
+/// it work, and whether it is one of them. The share of the others is only for trial requests after an ejection.
 ///
 /// Load pattern: servers and daemons start at the same time. A daemon that is not `settled` does not know the others
-/// yet and would take itself for the only one, as each of them would.
+/// yet; each would send as if it were the only one.
 pub fn start_share(daemon: u64, daemons: &[u64], backend: u64, starters: usize, settled: bool) -> (f64, bool) {
     if !settled {
         return (0.0, false);
@@ -31,10 +31,10 @@
     (1.0 / sharing as f64, starter)
 }
 
-/// For each of `backends`, whether `daemon` may run work on it that can wait.
+/// Returns, for each of `backends`, whether `daemon` may run waiting work on it.
 ///
-/// Each backend server has one such daemon, dealt out in turn, so that its slots are never filled by waiting
-/// work from several daemons at once.
+/// Each backend server has one such daemon, assigned round-robin, so that waiting work from several daemons never
+/// fills its slots at the same time.
 pub fn hosts(daemon: u64, daemons: &[u64], backends: &[u64]) -> Vec<bool> {
     let mut sorted = daemons.to_vec();
     sorted.sort_unstable();
--- a/crates/dispatch/src/warmth.rs
+++ b/crates/dispatch/src/warmth.rs
@@ -1,25 +1,25 @@
-//! Which objects each server has handled lately: a server works faster on those.
+//! Which objects each server has handled recently (warm objects): a server works faster on those.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::backend::BackendId;
 
-/// Objects that a server is trusted to keep warm.
+/// Maximum number of objects that a server is expected to keep warm.
 const MAX_OBJECTS: usize = 32;
 
-/// Objects by server, the latest handled last.
+/// Warm objects by server, the latest last.
 #[derive(Debug, Clone, Default)]
 pub struct Warmth {
     servers: BTreeMap<BackendId, VecDeque<u64>>,
 }
 
 impl Warmth {
-    /// Nothing is known to be warm.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// `server` handles `object`; says whether that is news.
+    /// Records that `server` handles `object`; returns whether the object was not warm there.
     pub fn touch(&mut self, server: BackendId, object: u64) -> bool {
         let objects = self.servers.entry(server).or_default();
         let known = objects.iter().position(|known| *known == object);
@@ -32,17 +32,17 @@
         known.is_none()
     }
 
-    /// Whether `server` handled `object` lately.
+    /// Returns whether `object` is warm at `server`.
     pub fn has(&self, server: BackendId, object: u64) -> bool {
         self.servers.get(&server).is_some_and(|objects| objects.contains(&object))
     }
 
-    /// `server` started anew: it knows nothing of before.
+    /// Removes all objects of `server`, for use after its restart.
     pub fn forget(&mut self, server: BackendId) {
         self.servers.remove(&server);
     }
 
-    /// Forgets the servers that are not in use any more.
+    /// Removes the servers that are no longer in use.
     pub fn retain(&mut self, in_use: impl Fn(BackendId) -> bool) {
         self.servers.retain(|server, _| in_use(*server));
     }
