--- a/crates/dispatch/src/engine/ending.rs
+++ b/crates/dispatch/src/engine/ending.rs
@@ -13,8 +13,8 @@
 struct Observation {
     latency: Duration,
     typical_latency: Duration,
-    /// Minimum latency from which a missing answer is held against the server: with less time the attempt was bound to
-    /// fail.
+    /// Latency from which a missing answer is held against the server; a shorter one may only show how little time the
+    /// attempt had.
     min_informative: Duration,
     may_eject: bool,
 }
--- a/crates/dispatch/src/engine/keyed.rs
+++ b/crates/dispatch/src/engine/keyed.rs
@@ -115,8 +115,8 @@
         let usable = |id: &BackendId| {
             let server = self.backends.get(id);
             server.is_some_and(|server| {
-                let serves = !server.leaving() && !server.unavailable(now) && !state.excluded.contains(id);
-                serves && class.allows(server.spec.region)
+                let available = !server.leaving() && !server.unavailable(now) && !state.excluded.contains(id);
+                available && class.allows(server.spec.region)
             })
         };
         let mut first = None;
--- a/crates/dispatch/src/engine/pick.rs
+++ b/crates/dispatch/src/engine/pick.rs
@@ -86,8 +86,8 @@
             (server.in_flight, server.load(now), server.pace(now), server.reported_at());
         let slots = f64::from(server.spec.slots);
         server.record_start(may_wait, now);
-        let place = server.spec.place;
-        let reserved = self.reserve_link(place, index, bytes as f64, now);
+        let server_place = server.spec.place;
+        let reserved = self.reserve_link(server_place, index, bytes as f64, now);
         self.next_attempt += 1;
         let attempt = self.next_attempt;
         let started = Attempt {
--- a/crates/dispatch/tests/announcements.rs
+++ b/crates/dispatch/tests/announcements.rs
@@ -1,4 +1,4 @@
-//! Servers that say that they leave, or want nothing for a while.
+//! Servers that announce that they are leaving, or ask for a pause.
 
 mod common;
 
@@ -21,53 +21,53 @@
     World::new((1..=servers).map(|id| backend(id, Place::Domain)).collect(), 7)
 }
 
-/// Where 30 requests go, one after the other.
-fn asked(world: &mut World, class: usize) -> Vec<BackendId> {
-    let mut asked = Vec::new();
+/// Sends 30 requests, one after the other; retries the servers they went to.
+fn send_30(world: &mut World, class: usize) -> Vec<BackendId> {
+    let mut servers = Vec::new();
     for _ in 0..30 {
         let request = world.send(class);
         for attempt in world.attempts_of(request) {
-            asked.push(world.live[&attempt].backend);
+            servers.push(world.live[&attempt].backend);
             world.end(attempt, Ending::Answered(10));
         }
         world.pass(Duration::from_millis(5));
     }
-    asked
+    servers
 }
 
 #[rstest]
 #[case(LOOKUP)]
 #[case(ORDER)]
-fn a_server_that_says_it_leaves_gets_nothing_whatever_the_list_says(#[case] class: usize) {
+fn a_server_that_announced_leaving_gets_nothing_whatever_the_list_says(#[case] class: usize) {
     let mut world = world(3);
     let until = world.now + HOUR;
-    assert!(world.engine.record_leaving(2, until, world.now), "it is news");
-    assert!(!world.engine.record_leaving(2, until, world.now), "it is no news again");
-    assert!(!asked(&mut world, class).contains(&2));
+    assert!(world.engine.record_leaving(2, until, world.now), "it is new");
+    assert!(!world.engine.record_leaving(2, until, world.now), "it is not new the second time");
+    assert!(!send_30(&mut world, class).contains(&2));
     let listed = || (1..=3).map(|id| backend(id, Place::Domain)).collect::<Vec<_>>();
     world.engine.set_backends(listed(), world.now);
-    assert!(!asked(&mut world, class).contains(&2), "the list names it as live");
+    assert!(!send_30(&mut world, class).contains(&2), "the list names it as live");
     world.engine.set_backends(vec![backend(1, Place::Domain)], world.now);
     world.engine.set_backends(listed(), world.now);
-    assert!(!asked(&mut world, class).contains(&2), "the list lost it for a moment");
+    assert!(!send_30(&mut world, class).contains(&2), "the list lost it for a moment");
     let mut renewed = listed();
     renewed[1].id = 12;
     world.engine.set_backends(renewed, world.now);
-    assert!(asked(&mut world, class).contains(&12), "its successor is another server");
+    assert!(send_30(&mut world, class).contains(&12), "its successor is another server");
 }
 
 #[test]
-fn a_word_that_comes_before_the_list_counts() {
+fn a_leaving_announcement_before_the_list_counts() {
     let mut world = world(1);
     assert!(world.engine.record_leaving(9, world.now + HOUR, world.now));
     world.engine.set_backends(vec![backend(1, Place::Domain), backend(9, Place::Domain)], world.now);
-    assert!(!asked(&mut world, LOOKUP).contains(&9));
+    assert!(!send_30(&mut world, LOOKUP).contains(&9));
     assert_eq!(world.engine.leaving_backends(world.now).collect::<Vec<_>>(), [9]);
 }
 
-/// Load: requests wait for the home of their object, which says that it leaves.
+/// Load: requests wait for the home of their object when that server announces that it is leaving.
 #[test]
-fn what_waits_for_a_leaving_server_goes_elsewhere() {
+fn requests_that_wait_for_a_leaving_server_go_elsewhere() {
     let classes: Vec<class::Spec> =
         common::classes().into_iter().map(|spec| class::Spec { affinity: true, ..spec }).collect();
     let mut engine = Engine::new(classes, common::LIMITS, 7);
@@ -76,18 +76,18 @@
     let mut sent = Vec::new();
     for request in 1..=8 {
         engine.submit(Arrival { object: Some(5), ..Arrival::new(request, LOOKUP, request, 10) }, now);
-        sent.extend(starts(&mut engine));
+        sent.extend(started(&mut engine));
     }
     let home = sent.first().expect("the first is sent at once").1;
     assert!(sent.iter().all(|(_, server)| *server == home), "{sent:?}");
     let waiting = engine.queued();
     assert!(waiting > 0, "the others wait");
     engine.record_leaving(home, now + HOUR, now);
-    let moved = starts(&mut engine);
+    let moved = started(&mut engine);
     assert!(!moved.is_empty() && moved.iter().all(|(_, server)| *server != home), "{moved:?}");
 }
 
-fn starts(engine: &mut Engine) -> Vec<(u64, BackendId)> {
+fn started(engine: &mut Engine) -> Vec<(u64, BackendId)> {
     let start = |action| match action {
         Action::Start { attempt, backend, .. } => Some((attempt, backend)),
         _ => None,
@@ -98,12 +98,12 @@
 #[rstest]
 #[case(LOOKUP)]
 #[case(ORDER)]
-fn an_attempt_that_is_called_back_goes_elsewhere_and_costs_no_try(#[case] class: usize) {
+fn a_recalled_attempt_goes_elsewhere_and_is_not_counted(#[case] class: usize) {
     let mut world = world(3);
     let request = world.send(class);
     for _ in 0..8 {
         let attempts = world.attempts_of(request);
-        assert_eq!(attempts.len(), 1, "it is on its way again");
+        assert_eq!(attempts.len(), 1, "it is sent again");
         world.end(attempts[0], Ending::Recalled);
         world.pass(Duration::from_millis(5));
     }
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn only_what_may_still_be_sent_is_sent() {
+fn leaving_and_paused_servers_may_not_be_sent_to() {
     let mut world = world(3);
     assert!(world.engine.may_send(1, world.now) && !world.engine.may_send(4, world.now));
     world.engine.record_leaving(1, world.now + HOUR, world.now);
@@ -125,7 +125,7 @@
 #[rstest]
 #[case::lookup(LOOKUP)]
 #[case::order(ORDER)]
-fn where_every_server_wants_nothing_the_refusal_comes_at_once_and_tells_when_to_come_back(#[case] class: usize) {
+fn where_every_server_is_paused_requests_are_refused_at_once_with_a_retry_time(#[case] class: usize) {
     let mut world = world(3);
     let pause = Duration::from_secs(10);
     (1..=3).for_each(|server| world.engine.record_pause(server, pause, world.now));
@@ -152,16 +152,16 @@
 }
 
 #[test]
-fn a_server_that_left_the_list_and_came_back_still_wants_nothing() {
+fn a_server_that_left_the_list_and_came_back_is_still_paused() {
     let mut world = world(2);
     world.engine.record_pause(2, Duration::from_secs(10), world.now);
     world.engine.set_backends(vec![backend(1, Place::Domain)], world.now);
     world.engine.set_backends(vec![backend(1, Place::Domain), backend(2, Place::Domain)], world.now);
-    assert!(!asked(&mut world, LOOKUP).contains(&2));
+    assert!(!send_30(&mut world, LOOKUP).contains(&2));
 }
 
 #[test]
-fn words_of_many_servers_take_bounded_room_and_the_latest_stay() {
+fn announcements_are_bounded_and_the_latest_stay() {
     let mut announcements = Announcements::new();
     let now = Time::from_millis(1_000);
     (0..20_000)
@@ -172,68 +172,69 @@
     assert_eq!(announcements.get(5).paused_until(), Time::default(), "the first to end was forgotten");
 }
 
-/// Load: three quarters of what the servers can do; from five seconds on, some of them want nothing for four.
+/// Load: three quarters of the capacity; from five seconds on, some servers pause for four seconds.
 #[rstest]
 #[case::one(1, 0.85)]
 #[case::a_third(5, 0.6)]
-fn a_pause_is_kept_and_the_others_serve(#[case] servers: usize, #[case] least: f64) {
+fn a_pause_is_kept_and_the_others_serve(#[case] servers: usize, #[case] min_good: f64) {
     let mut cluster = Cluster::new(&[4, 6, 6], 3);
     cluster.run(SECOND * 9, 30.0, 40);
     let until = cluster.now + SECOND * 4;
     cluster.paused = cluster.servers().into_iter().step_by(3).take(servers).map(|server| (server, until)).collect();
     cluster.run(SECOND * 14, 30.0, 40);
-    assert_eq!(cluster.unwanted, 0, "requests reached servers that wanted nothing");
+    assert_eq!(cluster.sent_while_paused, 0, "requests reached paused servers");
     let during = cluster.outcome(10, 14);
     let served = f64::from(during.good) / f64::from(during.asked);
-    assert!(served >= least, "{served} good while {servers} of 16 want nothing");
+    assert!(served >= min_good, "{served} good while {servers} of 16 are paused");
     let after = cluster.outcome(17, 23);
     assert!(f64::from(after.good) >= 0.85 * f64::from(after.asked), "{after:?}");
 }
 
-/// Load: the same, and all servers of the service want nothing for four seconds. What cannot be served is refused at
-/// once, its callers are spread past the end, and the servers are not filled by the first moment after it.
+/// Load: the same, and all servers of the service pause for four seconds. Requests that cannot be served are refused
+/// at once, their callers are spread past the end of the pause, and the servers are not filled in the first moment
+/// after it.
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn when_a_whole_service_wants_nothing_its_end_is_no_burst(#[case] seed: u64) {
+fn the_end_of_a_pause_of_a_whole_service_is_no_burst(#[case] seed: u64) {
     let mut cluster = Cluster::new(&[4, 6, 6], seed);
     cluster.run(SECOND * 9, 30.0, 40);
     let until = cluster.now + SECOND * 4;
     cluster.paused = cluster.servers().into_iter().map(|server| (server, until)).collect();
     cluster.run(SECOND, 30.0, 40);
-    cluster.refused_after = Duration::ZERO;
-    cluster.returns.clear();
+    cluster.max_refusal_delay = Duration::ZERO;
+    cluster.retry_times.clear();
     cluster.run(SECOND * 2, 30.0, 40);
-    assert_eq!(cluster.unwanted, 0);
-    assert!(cluster.refused_after < Duration::from_millis(50), "{:?}", cluster.refused_after);
-    assert!(cluster.returns.iter().all(|at| *at >= until), "none is told to come back too early");
-    let returns = cluster.returns.len();
-    let first = cluster.returns.iter().filter(|at| **at < until + Duration::from_millis(250)).count();
-    assert!(first * 3 < returns, "{first} of {returns} come back in the first quarter of a second");
+    assert_eq!(cluster.sent_while_paused, 0);
+    assert!(cluster.max_refusal_delay < Duration::from_millis(50), "{:?}", cluster.max_refusal_delay);
+    assert!(cluster.retry_times.iter().all(|at| *at >= until), "no caller is to retry too early");
+    let retries = cluster.retry_times.len();
+    let first = cluster.retry_times.iter().filter(|at| **at < until + Duration::from_millis(250)).count();
+    assert!(first * 3 < retries, "{first} of {retries} come back in the first quarter of a second");
     cluster.run(SECOND * 10, 30.0, 40);
     let end = until.as_millis() / 1_000;
-    let fullest = (end..end + 2).filter_map(|second| cluster.fullest.get(&second)).max();
-    assert!(fullest.is_some_and(|most| *most <= 6), "{fullest:?} requests at one server of three slots");
+    let max_load = (end..end + 2).filter_map(|second| cluster.max_load.get(&second)).max();
+    assert!(max_load.is_some_and(|load| *load <= 6), "{max_load:?} requests at one server of three slots");
     let after = cluster.outcome(end + 3, end + 8);
     assert!(f64::from(after.good) >= 0.85 * f64::from(after.asked), "{after:?}");
 }
 
-/// Load: requests come while the process has just woken and what it believes may be old.
+/// Load: requests arrive just after a stall of the process, when the state of servers may be out of date.
 #[rstest]
-#[case::trusted_again(Some(50), 50)]
-#[case::nobody_confirms(None, 300)]
-fn what_is_doubted_is_not_acted_on(#[case] trusted_after: Option<u64>, #[case] sent_after: u64) {
+#[case::resumed(Some(50), 50)]
+#[case::not_resumed(None, 300)]
+fn nothing_is_sent_while_dispatch_is_suspended(#[case] resumed_after: Option<u64>, #[case] sent_after: u64) {
     let mut world = world(3);
     let before = world.send(LOOKUP);
-    let on_its_way = world.attempts_of(before)[0];
+    let in_flight = world.attempts_of(before)[0];
     let begun = world.now;
     world.engine.suspend(SECOND * 5, begun + Duration::from_millis(300));
-    assert!(!world.engine.may_send(world.live[&on_its_way].backend, begun), "nor what was decided before");
-    world.end(on_its_way, Ending::Recalled);
+    assert!(!world.engine.may_send(world.live[&in_flight].backend, begun), "not even what was decided before");
+    world.end(in_flight, Ending::Recalled);
     let requests = [world.send(LOOKUP), world.send(ORDER), before];
     world.pass(Duration::from_millis(sent_after - 10));
     assert!(requests.iter().all(|request| world.attempts_of(*request).is_empty()));
-    if let Some(after) = trusted_after {
+    if let Some(after) = resumed_after {
         world.pass((begun + Duration::from_millis(after)).since(world.now));
         world.engine.resume(world.now);
     }
--- a/crates/dispatch/tests/blame.rs
+++ b/crates/dispatch/tests/blame.rs
@@ -1,4 +1,4 @@
-//! What a server is blamed for, and what not.
+//! Which failures are held against a server.
 
 mod common;
 
@@ -17,8 +17,8 @@
     world.engine.backends().filter(|server| server.suspect()).map(|server| server.spec.id).collect()
 }
 
-/// Answers what has run long enough: server 1 takes a millisecond, the others 20.
-fn work(world: &mut World, time: Duration) {
+/// Passes time and answers attempts that have run long enough: a millisecond at server 1, 20 at the others.
+fn run(world: &mut World, time: Duration) {
     let end = world.now + time;
     while world.now < end {
         let done = world.live.iter().filter(|(_, live)| {
@@ -31,47 +31,47 @@
     }
 }
 
-/// Load: two servers, one of them much faster; the faster one goes away while the other one is ejected for late answers.
+/// Load: two servers, one of them much faster, which is removed while the other one is ejected for late answers.
 #[test]
 fn the_last_server_serves_also_when_its_answers_were_late() {
     let mut world = World::new(vec![backend(1, Place::Domain), backend(2, Place::Domain)], 7);
     for _ in 0..200 {
         world.send(LOOKUP);
-        work(&mut world, MS * 2);
+        run(&mut world, MS * 2);
     }
-    let mut tries = 0;
-    while !suspects(&world).contains(&2) && tries < 2_000 {
-        tries += 1;
+    let mut rounds = 0;
+    while !suspects(&world).contains(&2) && rounds < 2_000 {
+        rounds += 1;
         world.send(LOOKUP);
-        work(&mut world, MS * 2);
+        run(&mut world, MS * 2);
     }
     assert_eq!(suspects(&world), [2], "the slower one is ejected while there is another");
-    work(&mut world, MS * 50);
+    run(&mut world, MS * 50);
     world.engine.set_backends(vec![backend(2, Place::Domain)], world.now);
     world.pass(Duration::ZERO);
     let mut requests = Vec::new();
     for _ in 0..100 {
         requests.push(world.send(LOOKUP));
-        work(&mut world, MS * 30);
+        run(&mut world, MS * 30);
     }
-    work(&mut world, MS * 100);
+    run(&mut world, MS * 100);
     let lost = requests.iter().filter(|request| refused(&world, **request).is_some()).count();
     assert_eq!(lost, 0, "{lost} of 100 were refused by a service with a sound server");
 }
 
 /// Load: requests reach a server when their callers have hardly any time left.
 #[test]
-fn an_attempt_with_little_time_left_tells_nothing_of_its_server() {
+fn an_attempt_with_little_time_left_is_not_held_against_its_server() {
     let mut engine = Engine::new(classes(), LIMITS, 7);
     let mut now = Time::from_millis(1_000);
     engine.set_backends((1..=3).map(|id| backend(id, Place::Domain)).collect(), now);
     for request in 1..200 {
-        let limit = if request < 50 { None } else { Some(MS * 30) };
-        engine.submit(Arrival { timeout: limit, ..Arrival::new(request, LOOKUP, request, 10) }, now);
-        let attempts: Vec<u64> = starts(&mut engine).into_iter().map(|(attempt, _)| attempt).collect();
-        // Usual work takes 40 ms.
-        now = now + limit.unwrap_or(MS * 40);
-        let ending = if limit.is_some() { Ending::Timeout } else { Ending::Answered(10) };
+        let timeout = if request < 50 { None } else { Some(MS * 30) };
+        engine.submit(Arrival { timeout, ..Arrival::new(request, LOOKUP, request, 10) }, now);
+        let attempts: Vec<u64> = started(&mut engine).into_iter().map(|(attempt, _)| attempt).collect();
+        // Typical latency is 40 ms.
+        now = now + timeout.unwrap_or(MS * 40);
+        let ending = if timeout.is_some() { Ending::Timeout } else { Ending::Answered(10) };
         attempts.into_iter().for_each(|attempt| engine.finish(attempt, ending, now));
         now = now + MS;
         engine.tick(now);
@@ -79,7 +79,7 @@
     assert_eq!(engine.backends().filter(|server| server.suspect()).count(), 0);
 }
 
-fn starts(engine: &mut Engine) -> Vec<(u64, BackendId)> {
+fn started(engine: &mut Engine) -> Vec<(u64, BackendId)> {
     let start = |action| match action {
         Action::Start { attempt, backend, .. } => Some((attempt, backend)),
         _ => None,
@@ -87,11 +87,11 @@
     engine.take_actions().into_iter().filter_map(start).collect()
 }
 
-/// Load: many requests run while the process is stopped for five seconds.
+/// Load: many requests are in flight while the process is stopped for five seconds.
 #[rstest]
 #[case::plain(false)]
-#[case::about_objects(true)]
-fn servers_are_not_blamed_for_the_time_in_which_the_process_stood_still(#[case] affinity: bool) {
+#[case::keyed(true)]
+fn servers_are_not_ejected_for_a_stall_of_the_process(#[case] affinity: bool) {
     let specs = classes().into_iter().map(|spec| class::Spec { affinity, ..spec }).collect();
     let mut engine = Engine::new(specs, LIMITS, 7);
     let begun = Time::from_millis(1_000);
@@ -100,11 +100,11 @@
         let object = affinity.then_some(request);
         engine.submit(Arrival { object, ..Arrival::new(request, LOOKUP, request, 10) }, begun);
     }
-    let running = starts(&mut engine);
+    let running = started(&mut engine);
     assert!(running.len() >= 4);
-    let stood = Duration::from_secs(5);
-    let woke = begun + stood;
-    engine.suspend(stood, woke + MS * 300);
+    let stall = Duration::from_secs(5);
+    let woke = begun + stall;
+    engine.suspend(stall, woke + MS * 300);
     engine.tick(woke);
     for (attempt, _) in running {
         engine.finish(attempt, Ending::Timeout, woke + MS);
--- a/crates/dispatch/tests/cases.rs
+++ b/crates/dispatch/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Fault tables of the engine.
+//! Reactions of the engine to single faults and limits.
 
 mod common;
 
@@ -35,7 +35,7 @@
     world.end(first, ending);
     world.pass(Duration::from_millis(100));
     assert_eq!(!world.attempts_of(order).is_empty(), again);
-    assert_eq!(refused(&world, order).is_some(), !again, "an order given up on is answered at once");
+    assert_eq!(refused(&world, order).is_some(), !again, "an order that is not retried is answered at once");
 }
 
 #[rstest]
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_poisonous_request_is_refused_after_two_losses() {
+fn a_request_that_crashes_servers_is_refused_after_two_losses() {
     let mut world = world(6);
     let first = world.send_as(LOOKUP, 99);
     world.end(only_attempt(&world, first), Ending::Lost);
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn bulk_leaves_room_for_lookups() {
+fn bulk_leaves_slots_for_lookups() {
     let mut world = world(4);
-    // Let the servers start.
+    // Let the servers get all their slots.
     for _ in 0..40 {
         let lookup = world.send(LOOKUP);
         world.end(only_attempt(&world, lookup), Ending::Answered(10));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_full_queue_drops_what_may_be_lost_first() {
+fn a_full_queue_drops_the_lowest_priority_first() {
     let mut world = world(0);
     let specs = vec![dispatch::backend::Spec { slots: 1, ..backend(1, Place::Domain) }];
     let now = world.now;
@@ -165,7 +165,7 @@
     let requests = 2_000;
     for _ in 0..requests {
         let lookup = world.send(LOOKUP);
-        // Every request is late, so each one would like a hedge.
+        // Every request is late, so each one could be hedged.
         world.pass(Duration::from_millis(300));
         let attempts = world.attempts_of(lookup);
         hedged += attempts.len().saturating_sub(1);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_stopping_engine_finishes_what_it_has() {
+fn a_stopping_engine_finishes_open_requests() {
     let mut world = world(2);
     let before = world.send(ORDER);
     world.engine.stop();
@@ -260,13 +260,13 @@
             world.end(attempt, Ending::Answered(ANSWER));
             bytes += ANSWER;
         }
-        let most = RATE * (world.now.since(start).as_secs_f64() + 0.1) + ANSWER as f64;
-        assert!(bytes as f64 <= most, "round {round}: {bytes} bytes, {most} allowed");
+        let allowed = RATE * (world.now.since(start).as_secs_f64() + 0.1) + ANSWER as f64;
+        assert!(bytes as f64 <= allowed, "round {round}: {bytes} bytes, {allowed} allowed");
     }
-    assert!(bytes as f64 > RATE, "the link is put to use");
+    assert!(bytes as f64 > RATE, "the link is used");
 }
 
-/// Load: a daemon starts while its region is short of servers, and knows nothing of the sizes of answers.
+/// Load: a daemon starts while its region is short of servers, before any answer size is known.
 #[test]
 fn first_answers_that_are_large_stay_within_the_share() {
     const RATE: f64 = 10_000_000.0;
@@ -280,7 +280,7 @@
     assert!(together as f64 <= RATE, "{together} bytes may pass in one second, {RATE} are allowed");
 }
 
-/// A server gave the work up by itself, in the middle of it: nobody cancelled it.
+/// The server cancelled the work by itself after it had begun; this daemon did not.
 #[rstest]
 #[case::an_order(ORDER, false)]
 #[case::a_lookup(LOOKUP, true)]
@@ -296,8 +296,8 @@
     assert_eq!(kind.answer().outcome, Outcome::Unknown, "{kind:?}");
 }
 
-/// Load: daemons start where objects live in two regions. Held back at first, the far part of the work would move there
-/// at once a moment later.
+/// Load: daemons start where objects have homes in two regions. If first answers were held back, the far share of the
+/// work would move to the other region all at once a moment later.
 #[test]
 fn first_answers_over_a_link_without_a_cap_are_not_held_back() {
     let mut world = World::new((1..=8).map(|id| backend(id, Place::Remote(1))).collect(), 7);
@@ -313,7 +313,7 @@
 #[case::lost_twice(Ending::Lost, 2, true)]
 #[case::cut_once(Ending::Cut, 1, false)]
 #[case::unreachable(Ending::Unreachable, 1, true)]
-fn a_server_is_ejected_when_it_is_gone_not_when_one_answer_is(
+fn a_server_is_ejected_when_it_is_down_not_when_one_answer_is_lost(
     #[case] ending: Ending,
     #[case] times: u32,
     #[case] ejected: bool,
@@ -327,12 +327,12 @@
     assert_eq!(server.suspect(), ejected);
 }
 
-/// Load: more than a server can answer in time. It answers all of it late; moving its objects elsewhere would only
-/// make more work.
+/// Load: more than a server can answer in time, so all its answers are late. Moving its objects to other servers would
+/// only add work.
 #[rstest]
 #[case::late_objects(true, true, 20, false)]
 #[case::silent_objects(true, false, 6, true)]
-#[case::silent_for_a_while(true, false, 5, false)]
+#[case::silent_less_often(true, false, 5, false)]
 #[case::late_without_objects(false, true, 2, true)]
 fn a_server_that_answers_late_keeps_its_objects(
     #[case] keyed: bool,
@@ -353,9 +353,9 @@
     assert_eq!(server.suspect(), ejected);
 }
 
-/// Load: callers ask the same again and again, and servers crash meanwhile for other reasons.
+/// Load: many callers send the same request, and servers crash meanwhile for other reasons.
 #[test]
-fn a_request_that_was_answered_lately_is_not_taken_for_poisonous() {
+fn a_request_that_was_answered_recently_is_not_quarantined() {
     let mut world = world(6);
     let answered = world.send_as(LOOKUP, 99);
     world.end(only_attempt(&world, answered), Ending::Answered(10));
--- a/crates/dispatch/tests/common/cluster.rs
+++ b/crates/dispatch/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! Several engines in front of servers that work faster on objects they handled lately.
+//! Several engines in front of simulated servers that work faster on warm objects.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,18 +10,18 @@
 use dispatch::engine::{Arrival, Budgets, Limits, Remote};
 use dispatch::{Action, Ending, Engine, Verdict};
 
-/// Objects that a server remembers.
-const REMEMBERED: usize = 40;
-/// Time of work on a new object; a third of it on one handled lately.
+/// Number of objects that a server keeps warm.
+const WARM_OBJECTS: usize = 40;
+/// Time of work on a cold object; work on a warm one takes a third of it.
 const WORK: Duration = Duration::from_millis(400);
-/// One way to another region.
-const FAR: Duration = Duration::from_millis(12);
-/// Time in which what was on its way to a server still reaches it.
-const GRACE: Duration = Duration::from_millis(100);
-/// Requests that wait at a server before it refuses more.
-const QUEUE: usize = 9;
+/// One-way delay to another region.
+const REMOTE_DELAY: Duration = Duration::from_millis(12);
+/// Time in which requests already in transit may still reach a server that announced a pause.
+const TRANSIT_TIME: Duration = Duration::from_millis(100);
+/// Number of requests that wait at a server before it sheds.
+const MAX_QUEUE: usize = 9;
 
-/// What callers of one region came to.
+/// Counts of the requests of one region's callers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcome {
     pub asked: u32,
@@ -39,7 +39,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Reach { server: BackendId, engine: usize, attempt: u64, object: u64 },
+    Arrive { server: BackendId, engine: usize, attempt: u64, object: u64 },
     Done { server: BackendId, attempt: u64 },
     Answer { server: BackendId, engine: usize, attempt: u64, shed: bool, load: u32 },
     Pause { server: BackendId, engine: usize, attempt: u64, pause: Duration },
@@ -52,10 +52,10 @@
     arrived: Time,
 }
 
-/// Engines, servers and callers; one engine stands in each region's first place, and so on round.
+/// Simulated engines, servers and callers, with two engines in each region.
 pub struct Cluster {
     pub now: Time,
-    /// For each second and each caller's region: requests run in each region.
+    /// Requests run in each region, by second and caller's region.
     pub ran: BTreeMap<(u64, u16), BTreeMap<u16, u32>>,
     pub outcomes: BTreeMap<(u64, u16), Outcome>,
     engines: Vec<(Engine, u16)>,
@@ -64,28 +64,28 @@
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<(usize, u64), (u64, BackendId)>,
     target: Duration,
-    /// For each region, the objects that are still to be asked for in this round.
+    /// For each region, the objects left to ask for in the current round.
     rounds: [Vec<u64>; 3],
     next: u64,
-    /// The part of its answers that every other server loses: the connection ends when the work is done.
-    pub losing: f64,
-    /// Servers that want nothing until then, and say so to each request.
+    /// Fraction of the answers that every other server loses: the connection ends when the work is done.
+    pub loss_ratio: f64,
+    /// Servers that pause, with the end of the pause; they announce it to each request.
     pub paused: BTreeMap<BackendId, Time>,
-    /// When each engine was told so.
-    told: BTreeMap<(usize, BackendId), Time>,
-    /// Requests that reached a server although it had told the engine long before that it wants nothing.
-    pub unwanted: u32,
-    /// The longest time that a refused caller waited for its refusal.
-    pub refused_after: Duration,
-    /// When refused callers are to come back.
-    pub returns: Vec<Time>,
-    /// Requests at one server at most, by second.
-    pub fullest: BTreeMap<u64, usize>,
+    /// When each engine got a server's announcement.
+    announced_at: BTreeMap<(usize, BackendId), Time>,
+    /// Number of requests that reached a server well after it had announced its pause to the engine.
+    pub sent_while_paused: u32,
+    /// Longest time until a refused request was refused.
+    pub max_refusal_delay: Duration,
+    /// Times at which refused callers are to retry.
+    pub retry_times: Vec<Time>,
+    /// Maximum load of a server, by second.
+    pub max_load: BTreeMap<u64, usize>,
     rng: fastrand::Rng,
 }
 
 impl Cluster {
-    /// `servers` for each region, and two engines in each.
+    /// Creates two engines in each region, and the given number of servers.
     pub fn new(servers: &[u32], seed: u64) -> Self {
         let target = Duration::from_millis(300);
         let now = Time::from_millis(1_000);
@@ -101,13 +101,13 @@
             target,
             rounds: [Vec::new(), Vec::new(), Vec::new()],
             next: 0,
-            losing: 0.0,
+            loss_ratio: 0.0,
             paused: BTreeMap::new(),
-            told: BTreeMap::new(),
-            unwanted: 0,
-            refused_after: Duration::ZERO,
-            returns: Vec::new(),
-            fullest: BTreeMap::new(),
+            announced_at: BTreeMap::new(),
+            sent_while_paused: 0,
+            max_refusal_delay: Duration::ZERO,
+            retry_times: Vec::new(),
+            max_load: BTreeMap::new(),
             rng: fastrand::Rng::with_seed(seed),
         };
         let mut id = 0;
@@ -162,12 +162,12 @@
         engine
     }
 
-    /// All servers, by number.
+    /// Returns all servers, by number.
     pub fn servers(&self) -> Vec<BackendId> {
         self.servers.keys().copied().collect()
     }
 
-    /// All engines start anew and know nothing; the servers go on.
+    /// Restarts all engines without state; the servers continue.
     pub fn restart(&mut self) {
         for index in 0..self.engines.len() {
             let region = self.engines[index].1;
@@ -177,8 +177,8 @@
         self.requests.clear();
     }
 
-    /// Callers of each region ask `per_second` times a second for `time`, about `objects` objects of theirs, each
-    /// as often as the others.
+    /// Runs for `time`; the callers of each region send `per_second` requests a second, spread evenly over `objects`
+    /// objects of their own.
     pub fn run(&mut self, time: Duration, per_second: f64, objects: u64) {
         let end = self.now + time;
         let mut due: Vec<Time> = (0..3).map(|_| self.now).collect();
@@ -210,7 +210,7 @@
         self.outcomes.entry((self.now.as_millis() / 1_000, region)).or_default().asked += 1;
         let arrival = Arrival { object: Some(object), ..Arrival::new(self.next, 0, self.next, 100) };
         self.engines[engine].0.submit(arrival, self.now);
-        self.settle(engine);
+        self.apply_actions(engine);
     }
 
     fn advance(&mut self, to: Time) {
@@ -227,7 +227,7 @@
                 (_, Some((at, index))) if at <= to => {
                     self.now = self.now.max(at);
                     self.engines[index].0.tick(self.now);
-                    self.settle(index);
+                    self.apply_actions(index);
                 }
                 _ => break,
             }
@@ -240,49 +240,49 @@
         self.events.insert((at, self.next, event));
     }
 
-    fn way(&self, engine: usize, server: BackendId) -> Duration {
-        if self.servers[&server].region == self.engines[engine].1 { Duration::from_millis(1) } else { FAR }
+    fn delay(&self, engine: usize, server: BackendId) -> Duration {
+        if self.servers[&server].region == self.engines[engine].1 { Duration::from_millis(1) } else { REMOTE_DELAY }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Reach { server, engine, attempt, object } => self.reach(server, engine, attempt, object),
+            Event::Arrive { server, engine, attempt, object } => self.arrive(server, engine, attempt, object),
             Event::Done { server, attempt } => self.done(server, attempt),
             Event::Lost { engine, attempt } => self.lose(engine, attempt),
             Event::Pause { server, engine, attempt, pause } => {
-                self.told.insert((engine, server), self.now);
+                self.announced_at.insert((engine, server), self.now);
                 self.engines[engine].0.record_pause(server, pause, self.now);
                 self.engines[engine].0.finish(attempt, Ending::Shed, self.now);
-                self.settle(engine);
+                self.apply_actions(engine);
             }
             Event::Answer { server, engine, attempt, shed, load } => {
                 let report = Report { load, draining: false, pace: Some(1.0), at: self.now };
                 let engine_state = &mut self.engines[engine].0;
                 engine_state.record_report(server, report);
                 engine_state.finish(attempt, if shed { Ending::Shed } else { Ending::Answered(1_000) }, self.now);
-                self.settle(engine);
+                self.apply_actions(engine);
             }
         }
     }
 
     fn lose(&mut self, engine: usize, attempt: u64) {
         self.engines[engine].0.finish(attempt, Ending::Lost, self.now);
-        self.settle(engine);
+        self.apply_actions(engine);
     }
 
-    fn reach(&mut self, id: BackendId, engine: usize, attempt: u64, object: u64) {
+    fn arrive(&mut self, id: BackendId, engine: usize, attempt: u64, object: u64) {
         if let Some(until) = self.paused.get(&id).copied().filter(|until| self.now < *until) {
-            let told = self.told.get(&(engine, id));
-            self.unwanted += u32::from(told.is_some_and(|told| self.now.since(*told) > GRACE));
-            let (at, pause) = (self.now + self.way(engine, id), until.since(self.now));
+            let announced_at = self.announced_at.get(&(engine, id));
+            self.sent_while_paused += u32::from(announced_at.is_some_and(|at| self.now.since(*at) > TRANSIT_TIME));
+            let (at, pause) = (self.now + self.delay(engine, id), until.since(self.now));
             return self.plan(at, Event::Pause { server: id, engine, attempt, pause });
         }
         let server = &self.servers[&id];
-        let fullest = self.fullest.entry(self.now.as_millis() / 1_000).or_default();
-        *fullest = (*fullest).max(server.running.len() + server.waiting.len());
-        if server.running.len() >= 3 && server.waiting.len() >= QUEUE {
+        let max_load = self.max_load.entry(self.now.as_millis() / 1_000).or_default();
+        *max_load = (*max_load).max(server.running.len() + server.waiting.len());
+        if server.running.len() >= 3 && server.waiting.len() >= MAX_QUEUE {
             let load = (server.running.len() + server.waiting.len()) as u32;
-            let at = self.now + self.way(engine, id);
+            let at = self.now + self.delay(engine, id);
             return self.plan(at, Event::Answer { server: id, engine, attempt, shed: true, load });
         }
         self.next += 1;
@@ -300,7 +300,7 @@
         let warm = server.warm.contains(&object);
         server.warm.retain(|known| *known != object);
         server.warm.push_back(object);
-        if server.warm.len() > REMEMBERED {
+        if server.warm.len() > WARM_OBJECTS {
             server.warm.pop_front();
         }
         server.running.insert(number, (engine, attempt));
@@ -317,8 +317,8 @@
         let load = (server.running.len() + server.waiting.len()) as u32;
         let Some((engine, attempt)) = server.running.remove(&number) else { return };
         let next = server.waiting.pop_front();
-        let at = self.now + self.way(engine, id);
-        let lost = self.losing > 0.0 && id.is_multiple_of(2) && self.rng.f64() < self.losing;
+        let at = self.now + self.delay(engine, id);
+        let lost = self.loss_ratio > 0.0 && id.is_multiple_of(2) && self.rng.f64() < self.loss_ratio;
         let answer = Event::Answer { server: id, engine, attempt, shed: false, load };
         self.plan(at, if lost { Event::Lost { engine, attempt } } else { answer });
         if let Some(next) = next {
@@ -326,22 +326,22 @@
         }
     }
 
-    fn settle(&mut self, engine: usize) {
+    fn apply_actions(&mut self, engine: usize) {
         for action in self.engines[engine].0.take_actions() {
             match action {
                 Action::Start { request, attempt, backend, .. } => {
                     self.attempts.insert((engine, attempt), (request, backend));
                     let Some(object) = self.requests.get(&request).map(|request| request.object) else { continue };
-                    let at = self.now + self.way(engine, backend);
-                    self.plan(at, Event::Reach { server: backend, engine, attempt, object });
+                    let at = self.now + self.delay(engine, backend);
+                    self.plan(at, Event::Arrive { server: backend, engine, attempt, object });
                 }
                 Action::Cancel { attempt, backend } => self.cancel(engine, attempt, backend),
-                Action::Answer { request, verdict, retry_after: after } => self.answer(request, verdict, after),
+                Action::Answer { request, verdict, retry_after } => self.answer(request, verdict, retry_after),
             }
         }
     }
 
-    /// The attempt's connection is closed: its server drops the work.
+    /// Closes the connection of an attempt: its server drops the work.
     fn cancel(&mut self, engine: usize, attempt: u64, id: BackendId) {
         let server = self.servers.get_mut(&id).expect("it is known");
         server.waiting.retain(|(_, of, number, _)| (*of, *number) != (engine, attempt));
@@ -355,7 +355,7 @@
         self.engines[engine].0.finish(attempt, Ending::Cancelled, self.now);
     }
 
-    fn answer(&mut self, request: u64, verdict: Verdict, after: Option<Duration>) {
+    fn answer(&mut self, request: u64, verdict: Verdict, retry_after: Option<Duration>) {
         let Some(known) = self.requests.remove(&request) else { return };
         let region = self.engines[known.engine].1;
         let good = self.now.since(known.arrived) <= self.target;
@@ -367,13 +367,13 @@
             }
             Verdict::Refuse(_) => {
                 outcome.refused += 1;
-                self.refused_after = self.refused_after.max(self.now.since(known.arrived));
-                self.returns.extend(after.map(|after| self.now + after));
+                self.max_refusal_delay = self.max_refusal_delay.max(self.now.since(known.arrived));
+                self.retry_times.extend(retry_after.map(|after| self.now + after));
             }
         }
     }
 
-    /// What all callers came to who asked from second `from` to second `to`.
+    /// Sums up the requests that arrived from second `from` up to `to`, of all regions.
     pub fn outcome(&self, from: u64, to: u64) -> Outcome {
         let inside = self.outcomes.iter().filter(|((second, _), _)| (from..to).contains(second));
         inside.fold(Outcome::default(), |sum, (_, one)| Outcome {
@@ -384,8 +384,9 @@
         })
     }
 
-    /// The part of the requests of `caller`'s region that ran in `region` in two seconds from `second` on.
-    pub fn part(&self, second: u64, caller: u16, region: u16) -> f64 {
+    /// Returns the fraction of the requests of `caller`'s region that ran in `region`, in the two seconds from
+    /// `second` on.
+    pub fn ran_fraction(&self, second: u64, caller: u16, region: u16) -> f64 {
         let ran = (second..second + 2).filter_map(|second| self.ran.get(&(second, caller)));
         let (mut inside, mut all) = (0, 0);
         for counts in ran {
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world around the engine, shared by the tests of this crate.
+//! A small world around one engine, shared by the tests of this crate.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod cluster;
@@ -31,7 +31,7 @@
     Spec { id, service: 0, place, slots: 3, leaving: false, hosts: true, region: 0, slow_start: None }
 }
 
-/// What is known of one attempt.
+/// An attempt in flight.
 #[derive(Debug, Clone, Copy)]
 pub struct Live {
     pub request: u64,
@@ -40,17 +40,17 @@
     pub cancelled: bool,
 }
 
-/// Everything that one caller's request came to.
+/// What happened to one request.
 #[derive(Debug, Clone, Default)]
 pub struct Trace {
     pub class: usize,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     pub may_have_run: u32,
     pub attempts: BTreeSet<u64>,
     pub answers: Vec<Verdict>,
 }
 
-/// The engine with all that it did.
+/// An engine and everything that it did.
 pub struct World {
     pub engine: Engine,
     pub now: Time,
@@ -84,7 +84,7 @@
     pub fn set_remote(&mut self, limit: u32, bytes_per_second: f64) {
         self.remote_limit = limit;
         self.engine.set_remote(1, Remote { max_in_flight: limit, bytes_per_second }, self.now);
-        self.settle();
+        self.apply_actions();
     }
 
     pub fn send(&mut self, class: usize) -> u64 {
@@ -97,7 +97,7 @@
         let request = self.next;
         self.traces.insert(request, Trace { class, ..Trace::default() });
         self.engine.submit(Arrival::new(request, class, fingerprint, 100), self.now);
-        self.settle();
+        self.apply_actions();
         request
     }
 
@@ -108,26 +108,26 @@
             trace.may_have_run += u32::from(ran);
         }
         self.engine.finish(attempt, ending, self.now);
-        self.settle();
+        self.apply_actions();
     }
 
     pub fn report(&mut self, backend: BackendId, load: u32, draining: bool) {
         self.engine.apply_report(backend, Report { load, draining, pace: None, at: self.now }, self.now);
-        self.settle();
+        self.apply_actions();
     }
 
-    /// Lets time pass, waking the engine whenever it wants.
+    /// Passes time, and calls the engine whenever a timer is due.
     pub fn pass(&mut self, time: Duration) {
         let end = self.now + time;
-        while let Some(wake) = self.engine.next_wakeup().filter(|wake| *wake <= end) {
-            self.now = self.now.max(wake);
+        while let Some(wakeup) = self.engine.next_wakeup().filter(|wakeup| *wakeup <= end) {
+            self.now = self.now.max(wakeup);
             self.engine.tick(self.now);
-            self.settle();
+            self.apply_actions();
         }
         self.now = end;
     }
 
-    /// Ends all that runs and lets the rest expire.
+    /// Answers everything in flight and lets the rest expire.
     pub fn finish(&mut self) {
         for _ in 0..100 {
             let attempts: Vec<u64> = self.live.keys().copied().collect();
@@ -150,7 +150,7 @@
         self.traces[&request].answers.first().copied()
     }
 
-    fn settle(&mut self) {
+    fn apply_actions(&mut self) {
         for action in self.engine.take_actions() {
             match action {
                 Action::Start { request, attempt, backend, .. } => self.started(request, attempt, backend),
@@ -201,7 +201,7 @@
     }
 }
 
-/// The error that a request was answered with.
+/// Returns the error that a request was answered with.
 pub fn refused(world: &World, request: u64) -> Option<Kind> {
     match world.answer(request) {
         Some(Verdict::Refuse(kind)) => Some(kind),
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What the engine notes for the logs of decisions and beliefs.
+//! Decisions that the engine records for logs.
 
 mod common;
 
@@ -34,32 +34,32 @@
 }
 
 #[test]
-fn a_request_that_waits_and_is_refused_is_noted_with_what_that_rests_on() {
+fn a_request_that_waits_and_is_refused_is_recorded_with_its_candidates() {
     let mut engine = engine(1, true);
     (1..=9).for_each(|request| submit(&mut engine, request, request, START));
     let held: Vec<Decision> = engine.take_decisions();
     let Some(Decision::Held { request, waiting, candidates }) = held.first() else { panic!("none is held: {held:?}") };
-    assert_eq!((*request, *waiting), (3, 1), "a server that told nothing yet gets two requests at home");
-    let chance = candidates[0].expect("the only server is considered");
-    assert_eq!((chance.backend, chance.load >= 1.0), (1, true));
-    assert!(chance.expected_latency > Duration::ZERO);
+    assert_eq!((*request, *waiting), (3, 1), "a server without a report gets two requests as primary home");
+    let candidate = candidates[0].expect("the only server is considered");
+    assert_eq!((candidate.backend, candidate.load >= 1.0), (1, true));
+    assert!(candidate.expected_latency > Duration::ZERO);
     let later = START + TARGET;
     engine.tick(later);
-    let refused = engine.take_decisions().into_iter().find_map(|note| match note {
-        Decision::Refused { request: 3, kind, waited, attempts: tries, .. } => Some((kind, waited, tries)),
+    let refused = engine.take_decisions().into_iter().find_map(|decision| match decision {
+        Decision::Refused { request: 3, kind, waited, attempts, .. } => Some((kind, waited, attempts)),
         _ => None,
     });
     assert_eq!(refused, Some((Kind::WontFinish, TARGET, 0)));
 }
 
 #[test]
-fn a_server_that_goes_away_is_noted_and_noted_again_when_it_proved_itself() {
+fn an_ejection_and_the_reinstatement_are_recorded() {
     let mut engine = engine(1, false);
     submit(&mut engine, 1, 1, START);
     let first = started(&mut engine);
     engine.finish(first[0], Ending::Unreachable, START);
-    let notes = engine.take_decisions();
-    let until = notes.iter().find_map(|note| match note {
+    let decisions = engine.take_decisions();
+    let until = decisions.iter().find_map(|decision| match decision {
         Decision::Ejected { backend: 1, until, .. } => Some(*until),
         _ => None,
     });
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_fingerprint_is_noted_once_when_it_becomes_poisonous() {
+fn a_fingerprint_is_recorded_once_when_it_is_quarantined() {
     let mut engine = engine(4, false);
     engine.merge_losses(&[(99, 1)], START);
     assert!(engine.take_decisions().is_empty());
--- a/crates/dispatch/tests/keyed.rs
+++ b/crates/dispatch/tests/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests about objects, at servers that work faster on an object they handled lately.
+//! Requests about objects, at servers that work faster on warm objects.
 
 mod common;
 
@@ -11,14 +11,14 @@
 use dispatch::{Action, Ending, Engine, class};
 use rstest::rstest;
 
-/// Part of the requests that is answered within the target.
+/// Returns the fraction of the requests that were answered within the target.
 fn good(cluster: &Cluster, from: u64, to: u64) -> f64 {
     let outcome = cluster.outcome(from, to);
     f64::from(outcome.good) / f64::from(outcome.asked.max(1))
 }
 
-/// Load: four fifths of what the servers could do if every object were new to them, a third regions's worth of it
-/// from callers with an eighth of the servers.
+/// Load: four fifths of what the servers could do if every object were cold; a third of it comes from callers whose
+/// region has an eighth of the servers.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -26,11 +26,11 @@
 fn objects_stay_at_few_servers_under_load(#[case] seed: u64) {
     let mut cluster = Cluster::new(&[2, 6, 8], seed);
     cluster.run(Duration::from_secs(30), 32.0, 48);
-    let part = good(&cluster, 11, 29);
-    assert!(part >= 0.9, "{part} good after ten seconds");
+    let fraction = good(&cluster, 11, 29);
+    assert!(fraction >= 0.9, "{fraction} good after ten seconds");
 }
 
-/// Load: the same, and all entry instances forget what they know at one moment.
+/// Load: the same, and all entry instances restart at the same moment and lose their state.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -40,8 +40,8 @@
     cluster.run(Duration::from_secs(15), 32.0, 48);
     cluster.restart();
     cluster.run(Duration::from_secs(15), 32.0, 48);
-    let part = good(&cluster, 18, 29);
-    assert!(part >= 0.85, "{part} good from three seconds after the restart on");
+    let fraction = good(&cluster, 18, 29);
+    assert!(fraction >= 0.85, "{fraction} good from three seconds after the restart on");
 }
 
 /// Load: callers of a region with a tenth of the servers, from the first second on.
@@ -52,12 +52,12 @@
 fn work_moves_between_regions_in_small_steps(#[case] seed: u64) {
     let mut cluster = Cluster::new(&[2, 8, 10], seed);
     cluster.run(Duration::from_secs(30), 60.0, 48);
-    let parts: Vec<f64> = (1..27).map(|second| cluster.part(second, 0, 0)).collect();
-    let widest = parts.windows(3).map(|pair| (pair[2] - pair[0]).abs()).fold(0.0, f64::max);
-    assert!(widest <= 0.15, "{widest} of the requests changed their region within two seconds: {parts:?}");
+    let fractions: Vec<f64> = (1..27).map(|second| cluster.ran_fraction(second, 0, 0)).collect();
+    let widest = fractions.windows(3).map(|pair| (pair[2] - pair[0]).abs()).fold(0.0, f64::max);
+    assert!(widest <= 0.15, "{widest} of the requests changed their region within two seconds: {fractions:?}");
 }
 
-/// Load: after an outage of all entry instances ten times the usual requests come at once.
+/// Load: after an outage of all entry instances, ten times the usual requests arrive at once.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -68,30 +68,30 @@
     cluster.restart();
     cluster.run(Duration::from_millis(600), 320.0, 48);
     cluster.run(Duration::from_secs(10), 32.0, 48);
-    let part = good(&cluster, 17, 20);
-    assert!(part >= 0.66, "{part} good between one and four seconds after the storm");
+    let fraction = good(&cluster, 17, 20);
+    assert!(fraction >= 0.66, "{fraction} good between one and four seconds after the storm");
     let all = cluster.outcome(1, 25);
     let served = f64::from(all.answered) / f64::from(all.asked);
     assert!(served >= 0.75, "{served} answered at all");
 }
 
-/// Load: half of the servers lose the answers of a thirtieth of the requests that they ran.
+/// Load: half of the servers lose the answers of 3 % of the requests that they ran.
 #[rstest]
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn answers_lost_here_and_there_move_no_objects(#[case] seed: u64) {
+fn occasional_lost_answers_move_no_objects(#[case] seed: u64) {
     let mut cluster = Cluster::new(&[2, 6, 8], seed);
     cluster.run(Duration::from_secs(12), 32.0, 48);
-    cluster.losing = 0.03;
+    cluster.loss_ratio = 0.03;
     cluster.run(Duration::from_secs(20), 32.0, 48);
-    let part = good(&cluster, 13, 31);
-    assert!(part >= 0.9, "{part} good");
+    let fraction = good(&cluster, 13, 31);
+    assert!(fraction >= 0.9, "{fraction} good");
 }
 
-/// Load: a start. Nobody knows how busy the servers are, and each object is new to all of them.
+/// Load: a start. No server has reported its load, and each object is cold everywhere.
 #[test]
-fn at_a_start_an_object_goes_to_its_home_before_others_have_to_learn_it() {
+fn at_a_start_an_object_goes_to_its_home_first() {
     let specs = common::classes().into_iter().map(|spec| class::Spec { affinity: true, ..spec }).collect();
     let mut engine = Engine::new(specs, common::LIMITS, 7);
     let now = Time::from_millis(1_000);
@@ -104,10 +104,11 @@
     let server = |action| if let Action::Start { backend, .. } = action { Some(backend) } else { None };
     let servers: Vec<BackendId> = engine.take_actions().into_iter().filter_map(server).collect();
     assert_eq!(servers[0], servers[1], "the first two go to the object's home");
-    assert_eq!(servers[2], 9, "a third is not sent where nobody knows what waits");
+    assert_eq!(servers[2], 9, "a third is not sent there before the server reports its load");
 }
 
-/// Load: entry instances that started at different times, after classes had come and gone, see the same objects.
+/// Load: entry instances that started at different times, after classes were added and removed, get requests about the
+/// same objects.
 #[test]
 fn all_daemons_send_an_object_to_the_same_home_whatever_the_order_of_their_classes() {
     let now = Time::from_millis(1_000);
@@ -129,9 +130,9 @@
     }
 }
 
-/// Load: more requests about objects than all servers take. An answer makes room at one server only.
+/// Load: more requests about objects than all servers can take. An answer frees a slot at one server only.
 #[test]
-fn an_answer_has_only_those_looked_at_that_wait_for_its_server() {
+fn an_answer_rechecks_only_requests_that_wait_for_its_server() {
     const WAITING: u64 = 200;
     let spec = class::Spec { affinity: true, ..class::Spec::new(0, Duration::from_secs(1)) };
     let now = Time::from_millis(1_000);
@@ -148,8 +149,8 @@
     assert!(engine.queued() as u64 >= WAITING, "{} requests wait", engine.queued());
     let before = engine.picks();
     engine.finish(started[0], Ending::Answered(10), now + Duration::from_millis(1));
-    let looked_at = engine.picks() - before;
+    let picks = engine.picks() - before;
     let more = engine.take_actions().into_iter().filter(|action| matches!(action, Action::Start { .. })).count();
-    assert!(more >= 1, "the server that has room gets what waits for it");
-    assert!(looked_at <= WAITING / 10, "{looked_at} of {} were looked at", engine.queued());
+    assert!(more >= 1, "the server with a free slot gets a request that waits for it");
+    assert!(picks <= WAITING / 10, "{picks} of {} were tried", engine.queued());
 }
--- a/crates/dispatch/tests/properties.rs
+++ b/crates/dispatch/tests/properties.rs
@@ -18,8 +18,8 @@
     Pass(u16),
     Report(u32, u32),
     Leave(u32, bool),
-    SaysLeaving(u32),
-    WantsNothing(u32, u16),
+    AnnounceLeaving(u32),
+    AnnouncePause(u32, u16),
 }
 
 fn ending() -> impl Strategy<Value = Ending> {
@@ -43,12 +43,12 @@
         6 => (0_u16..400).prop_map(Event::Pass),
         2 => (1_u32..7, 0_u32..6).prop_map(|(id, load)| Event::Report(id, load)),
         1 => (1_u32..5, any::<bool>()).prop_map(|(id, leaving)| Event::Leave(id, leaving)),
-        1 => (1_u32..4).prop_map(Event::SaysLeaving),
-        2 => (1_u32..7, 0_u16..2_000).prop_map(|(id, pause)| Event::WantsNothing(id, pause)),
+        1 => (1_u32..4).prop_map(Event::AnnounceLeaving),
+        2 => (1_u32..7, 0_u16..2_000).prop_map(|(id, pause)| Event::AnnouncePause(id, pause)),
     ]
 }
 
-fn play(world: &mut World, event: Event, specs: &mut [dispatch::backend::Spec]) {
+fn apply(world: &mut World, event: Event, specs: &mut [dispatch::backend::Spec]) {
     match event {
         Event::Send(class) => drop(world.send(class)),
         Event::Resend(class, fingerprint) => drop(world.send_as(class, fingerprint)),
@@ -62,28 +62,28 @@
         }
         Event::Pass(millis) => world.pass(Duration::from_millis(millis.into())),
         Event::Report(id, load) => world.report(id, load, false),
-        Event::SaysLeaving(id) => {
+        Event::AnnounceLeaving(id) => {
             let now = world.now;
             world.engine.record_leaving(id, now + Duration::from_secs(2), now);
             world.pass(Duration::ZERO);
         }
-        Event::WantsNothing(id, pause) => {
+        Event::AnnouncePause(id, pause) => {
             world.engine.record_pause(id, Duration::from_millis(pause.into()), world.now);
         }
         Event::Leave(id, leaving) => {
             specs.iter_mut().filter(|spec| spec.id == id).for_each(|spec| spec.leaving = leaving);
             let now = world.now;
             world.engine.set_backends(specs.to_vec(), now);
-            // What was started by this is taken in by the next event.
+            // Actions that result from this are applied by the next event.
             world.pass(Duration::ZERO);
         }
     }
 }
 
-/// The world itself asserts after each action: an order is sent again only if it did not run, "not run" is
-/// true, an answer belongs to its request, and the other region's limit holds.
+/// `World` itself asserts after each action: an order is sent again only if it did not run, "not run" is true, an
+/// answer belongs to its request, and the other region's limit holds.
 #[test]
-fn every_request_ends_once_and_truly() {
+fn every_request_gets_exactly_one_true_answer() {
     let cases = std::env::var("HEMLOCK_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(1_000);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let config = Config { cases, failure_persistence: None, ..Config::default() };
@@ -101,7 +101,7 @@
         let mut world = World::new(specs.clone(), seed);
         world.set_remote(2, 1e7);
         for event in schedule {
-            play(&mut world, event, &mut specs);
+            apply(&mut world, event, &mut specs);
         }
         world.finish();
         prop_assert!(!world.waiting_limit_broken, "two waiting requests on one server");
--- a/crates/dispatch/tests/rules.rs
+++ b/crates/dispatch/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Bounds that hold whatever comes: second sends, starting servers, regions, shares of services, work that must go on.
+//! Limits that always hold: second sends, slow starts, regions, shares of services, work that must not be cancelled.
 
 mod common;
 
@@ -35,13 +35,13 @@
     engine.take_actions().into_iter().filter_map(start).collect()
 }
 
-/// Load: a whole service is full. Every attempt is turned away unrun, and would be sent elsewhere.
+/// Load: a whole service is full. Every attempt is shed, and would be retried elsewhere.
 #[rstest]
 #[case::a_fifth(0.2, 3.0)]
 #[case::none(0.0, 0.0)]
-fn second_sends_of_a_service_stay_within_their_part(#[case] part: f64, #[case] saved: f64) {
+fn second_sends_of_a_service_stay_within_their_budget(#[case] ratio: f64, #[case] burst: f64) {
     let budgets =
-        Budgets { retry_ratio: 1.0, retry_burst: 100.0, repeat_ratio: part, repeat_burst: saved, ..Budgets::DEFAULT };
+        Budgets { retry_ratio: 1.0, retry_burst: 100.0, repeat_ratio: ratio, repeat_burst: burst, ..Budgets::DEFAULT };
     let servers = (1..=9).map(|id| backend(id, Place::Domain)).collect();
     let mut engine = engine(classes(), budgets, servers);
     let (mut sends, mut now) = (0_u32, START);
@@ -56,14 +56,14 @@
         }
         engine.tick(now);
     }
-    assert!(f64::from(sends) <= 200.0 * (1.0 + part) + saved, "{sends} sends for 200 requests");
+    assert!(f64::from(sends) <= 200.0 * (1.0 + ratio) + burst, "{sends} sends for 200 requests");
 }
 
-/// Load: a server has just started and callers press.
+/// Load: a server has just started, and more requests arrive than it may get.
 #[rstest]
 #[case::ours(4.0, 4 + 1)]
 #[case::left_to_others(0.0, 0)]
-fn a_starting_server_gets_its_rate_and_no_more(#[case] per_second: f64, #[case] most: usize) {
+fn a_starting_server_gets_its_rate_and_no_more(#[case] per_second: f64, #[case] max_count: usize) {
     let start = SlowStart { until: START + Duration::from_mins(1), per_second, starter: per_second > 0.0, phase: 0.0 };
     let spec = class::Spec { affinity: true, ..classes()[LOOKUP].clone() };
     let server = Spec { slow_start: Some(start), slots: 100, ..backend(1, Place::Region) };
@@ -77,7 +77,7 @@
             engine.finish(attempt, Ending::Answered(1), now);
         }
     }
-    assert!(count <= most, "{count} requests in a second");
+    assert!(count <= max_count, "{count} requests in a second");
 }
 
 #[rstest]
@@ -132,24 +132,24 @@
     assert_eq!(cancels, usize::from(cancelled));
 }
 
-/// Load: all daemons start anew while servers are cold; each knows itself first, then all.
+/// Load: all daemons restart while servers are cold; at first each knows only itself, then all of them.
 #[test]
 fn daemons_that_do_not_know_each_other_yet_send_a_starting_server_nothing() {
     let all: Vec<u64> = (100..133).collect();
     let sum = |known: &dyn Fn(u64) -> Vec<u64>, settled: bool| -> f64 {
-        let parts = all.iter().map(|daemon| subset::start_share(*daemon, &known(*daemon), 7, 3, settled));
-        parts.filter(|(_, starter)| *starter).map(|(part, _)| part).sum()
+        let shares = all.iter().map(|daemon| subset::start_share(*daemon, &known(*daemon), 7, 3, settled));
+        shares.filter(|(_, starter)| *starter).map(|(share, _)| share).sum()
     };
     assert!(sum(&|daemon| vec![daemon], false) < f64::EPSILON);
     assert!((sum(&|_| all.clone(), true) - 1.0).abs() < 1e-9);
-    let (part, starter) = subset::start_share(100, &[100], 7, 3, true);
-    assert!(starter && (part - 1.0 / 3.0).abs() < 1e-9, "a daemon alone sends its part only");
+    let (share, starter) = subset::start_share(100, &[100], 7, 3, true);
+    assert!(starter && (share - 1.0 / 3.0).abs() < 1e-9, "a daemon alone sends only its share");
 }
 
-/// Load: entry instances come and go while a server starts, so its starters change.
+/// Load: entry instances start and stop during the slow start of a server, so its starters change.
 #[rstest]
 #[case::becomes_a_starter(0.0, 4.0, true)]
-#[case::is_one_no_more(4.0, 0.0, false)]
+#[case::is_no_longer_one(4.0, 0.0, false)]
 fn a_daemon_sends_a_starting_server_what_the_latest_membership_says(
     #[case] before: f64,
     #[case] after: f64,
@@ -167,13 +167,13 @@
     assert_eq!(!started(&mut engine).is_empty(), sends);
 }
 
-/// Load: a server goes away for a moment and may have started anew. Every daemon has ejected it and wants to try it.
+/// Load: a server fails for a moment and may have restarted. Every daemon has ejected it and is due to try it.
 #[test]
 fn all_daemons_try_an_ejected_server_again_and_not_all_at_once() {
-    let (daemons, bears) = (33, 5.0);
+    let (daemons, per_second) = (33, 5.0);
     let server = |daemon: u32| {
         let phase = f64::from(daemon) / f64::from(daemons);
-        let start = SlowStart { until: Time::ZERO, per_second: bears / f64::from(daemons), starter: false, phase };
+        let start = SlowStart { until: Time::ZERO, per_second: per_second / f64::from(daemons), starter: false, phase };
         let mut server = Backend::new(Spec { slow_start: Some(start), ..backend(1, Place::Region) }, START);
         server.record_failure(START);
         server
@@ -183,7 +183,7 @@
         let now = START + Duration::from_secs(second);
         let before = waiting.len();
         waiting.retain(|server| server.unavailable(now) || !server.admits(now));
-        assert!((before - waiting.len()) as f64 <= bears + 1.0, "{} in second {second}", before - waiting.len());
+        assert!((before - waiting.len()) as f64 <= per_second + 1.0, "{} in second {second}", before - waiting.len());
     }
     assert!(waiting.is_empty(), "{} daemons never try it", waiting.len());
 }
