--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -61,7 +61,7 @@
 
 /// A backend server.
 #[derive(Debug, Clone)]
-#[expect(clippy::struct_excessive_bools, reason = "each is seen or said on its own")]
+#[expect(clippy::struct_excessive_bools, reason = "each is observed or announced on its own")]
 pub struct Backend {
     /// What is declared of the server.
     pub spec: Spec,
@@ -147,7 +147,7 @@
     }
 
     /// Records a load report; an older one than the last changes nothing.
-    pub fn report(&mut self, report: Report) {
+    pub fn record_report(&mut self, report: Report) {
         if self.report.is_some_and(|known| known.at > report.at) {
             return;
         }
--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -4,14 +4,14 @@
 mod decision;
 mod ending;
 mod event;
+mod held;
 mod keyed;
 mod pick;
 #[cfg(feature = "policies")]
 pub mod policy;
 mod queue;
 mod state;
-mod waiting;
-mod world;
+mod update;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/dispatch/src/engine/pick.rs
+++ b/crates/dispatch/src/engine/pick.rs
@@ -172,11 +172,11 @@
         let Some(tiers) = self.tiers.get(service) else { return false };
         let serving: Vec<BackendId> = tiers.iter().flatten().copied().collect();
         let spec = &self.classes[class].spec;
-        let open = |id: &BackendId| {
+        let available = |id: &BackendId| {
             let server = self.backends.get(id);
             server.is_some_and(|server| !server.leaving() && !server.ejected(now) && spec.allows(server.spec.region))
         };
-        if now < self.suspended_until || serving.iter().any(open) {
+        if now < self.suspended_until || serving.iter().any(available) {
             return false;
         }
         let reinstated = serving.iter().filter(|id| {
@@ -193,7 +193,7 @@
         let Some(tiers) = self.tiers.get(service) else {
             return Some(Kind::NoBackend);
         };
-        let ids = || tiers.iter().flatten().filter_map(|id| self.backends.get(id));
+        let servers = || tiers.iter().flatten().filter_map(|id| self.backends.get(id));
         let spec = &self.classes[state.class].spec;
         let serves = |server: &&Backend| {
             !server.leaving() && !state.excluded.contains(&server.spec.id) && spec.allows(server.spec.region)
@@ -201,16 +201,16 @@
         let reachable = |server: &&Backend| !server.ejected(state.deadline);
         let accepting = |server: &&Backend| !server.paused(self.wait_deadline(state));
         let granted = |server: &&Backend| self.remote_granted(server.spec.place);
-        if !ids().any(|server| serves(&server)) {
+        if !servers().any(|server| serves(&server)) {
             return Some(Kind::NoBackend);
         }
-        if !ids().any(|server| serves(&server) && reachable(&server)) {
+        if !servers().any(|server| serves(&server) && reachable(&server)) {
             return Some(Kind::Unreachable);
         }
-        if !ids().any(|server| serves(&server) && reachable(&server) && accepting(&server)) {
+        if !servers().any(|server| serves(&server) && reachable(&server) && accepting(&server)) {
             return Some(Kind::Paused);
         }
-        if !ids().any(|server| serves(&server) && reachable(&server) && accepting(&server) && granted(&server)) {
+        if !servers().any(|server| serves(&server) && reachable(&server) && accepting(&server) && granted(&server)) {
             return Some(Kind::LinkFull);
         }
         None
@@ -298,8 +298,8 @@
         load < slots || (server.in_flight == 0 && load < slots + OVERBOOKING)
     }
 
-    /// Waiting work takes one slot of a server that this daemon hosts, and leaves another one free unless the work has
-    /// aged.
+    /// Returns whether a server accepts work that may wait. Where this daemon hosts such work, it takes one slot and
+    /// leaves another one free unless it has aged; elsewhere it runs on idle servers only.
     fn accepts_waiting_work(&self, server: &Backend, state: &Request, now: Time) -> bool {
         if server.waiting_in_flight > 0 {
             return false;
--- a/crates/dispatch/src/engine/world.rs
+++ b/crates/dispatch/src/engine/update.rs
@@ -81,14 +81,14 @@
     /// does that.
     pub fn record_report(&mut self, backend: BackendId, report: Report) {
         if let Some(backend) = self.backends.get_mut(&backend) {
-            backend.report(report);
+            backend.record_report(report);
         }
     }
 
     /// Records a load report of a backend server and dispatches waiting requests.
     pub fn apply_report(&mut self, backend: BackendId, report: Report, now: Time) {
         if let Some(backend) = self.backends.get_mut(&backend) {
-            backend.report(report);
+            backend.record_report(report);
         }
         self.dispatch_waiting(now);
     }
