--- a/crates/dispatch/src/engine/pick.rs
+++ b/crates/dispatch/src/engine/pick.rs
@@ -193,7 +193,7 @@
         let Some(tiers) = self.tiers.get(service) else {
             return Some(Kind::NoBackend);
         };
-        let servers = || tiers.iter().flatten().filter_map(|id| self.backends.get(id));
+        let candidates = || tiers.iter().flatten().filter_map(|id| self.backends.get(id));
         let spec = &self.classes[state.class].spec;
         let serves = |server: &&Backend| {
             !server.leaving() && !state.excluded.contains(&server.spec.id) && spec.allows(server.spec.region)
@@ -201,16 +201,16 @@
         let reachable = |server: &&Backend| !server.ejected(state.deadline);
         let accepting = |server: &&Backend| !server.paused(self.wait_deadline(state));
         let granted = |server: &&Backend| self.remote_granted(server.spec.place);
-        if !servers().any(|server| serves(&server)) {
+        if !candidates().any(|server| serves(&server)) {
             return Some(Kind::NoBackend);
         }
-        if !servers().any(|server| serves(&server) && reachable(&server)) {
+        if !candidates().any(|server| serves(&server) && reachable(&server)) {
             return Some(Kind::Unreachable);
         }
-        if !servers().any(|server| serves(&server) && reachable(&server) && accepting(&server)) {
+        if !candidates().any(|server| serves(&server) && reachable(&server) && accepting(&server)) {
             return Some(Kind::Paused);
         }
-        if !servers().any(|server| serves(&server) && reachable(&server) && accepting(&server) && granted(&server)) {
+        if !candidates().any(|server| serves(&server) && reachable(&server) && accepting(&server) && granted(&server)) {
             return Some(Kind::LinkFull);
         }
         None
