--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -1,17 +1,17 @@
-//! The state machine of dispatch.
+//! The dispatch engine: a state machine that assigns requests to backend servers.
 
 mod answer;
 mod decision;
 mod ending;
 mod event;
+mod held;
 mod keyed;
 mod pick;
 #[cfg(feature = "policies")]
 pub mod policy;
 mod queue;
 mod state;
-mod waiting;
-mod world;
+mod update;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 pub use self::decision::{Candidate, Decision};
 pub use self::event::{Action, Arrival, Basis, Budgets, Ending, Limits, Remote, Verdict};
-use self::state::{Attempt, Channel, Request, Timer};
+use self::state::{Attempt, Link, Request, Timer};
 use crate::announcements::Announcements;
 use crate::backend::{Backend, BackendId};
 use crate::budget::Budget;
@@ -28,89 +28,94 @@
 use crate::quarantine::Quarantine;
 use crate::warmth::Warmth;
 
-/// Time after which waiting requests are looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
-/// The same where only requests about objects wait.
-const LOOK_AT_HELD: Duration = Duration::from_millis(20);
+/// Interval at which waiting requests are tried again.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// The same while only held requests (those about objects) wait.
+const HELD_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Decides what runs where.
+/// Assigns requests to backend servers and decides on retries, hedges and refusals.
 #[derive(Debug, Clone)]
 pub struct Engine {
     limits: Limits,
     classes: Vec<Class>,
-    order: Vec<usize>,
+    /// Positions of the classes, by rank.
+    priority_order: Vec<usize>,
     backends: BTreeMap<BackendId, Backend>,
-    /// For each service: servers of our region, and servers elsewhere.
+    /// For each service, by position: the servers of this region, and those of other regions.
     tiers: Vec<[Vec<BackendId>; 2]>,
-    channels: BTreeMap<u16, Channel>,
+    /// Links to other regions, by region.
+    links: BTreeMap<u16, Link>,
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<u64, Attempt>,
     timers: BTreeSet<(Time, Timer)>,
-    /// Requests about objects that wait for a home, by service.
+    /// Requests about objects that wait for one of their home servers, by service.
     held: BTreeMap<u16, Vec<u64>>,
-    /// When waiting requests are looked at again.
-    looking: Option<Time>,
+    /// When waiting requests are tried again; `None` if no recheck is scheduled.
+    recheck_at: Option<Time>,
     next_attempt: u64,
-    choices: u64,
+    picks: u64,
+    /// Requests in the queues of the classes; held ones are not counted.
     queued: usize,
     hedges: Budget,
     retries: Budget,
-    /// Hedges and retries together, by service.
+    /// Budget of hedges and retries together, by service.
     repeats: BTreeMap<u16, Budget>,
     warmth: Warmth,
-    words: Announcements,
-    /// Until when what is believed of servers is not acted on.
-    doubted_until: Time,
-    /// When the last pause ends that a server asked for.
-    pauses_end: Time,
-    /// Parts of the objects that live near, by service.
-    near_parts: Vec<f64>,
-    /// When the loads of servers that told none were last guessed, by service.
-    guessed: BTreeMap<u16, Time>,
+    announcements: Announcements,
+    /// Until when nothing is sent after a stall of the process, as the state of servers may be out of date.
+    suspended_until: Time,
+    /// When the last of the announced pauses ends.
+    last_pause_end: Time,
+    /// Share of the objects whose primary home is in this region, by service.
+    near_shares: Vec<f64>,
+    /// When the load of servers without a report was last estimated, by service.
+    loads_estimated_at: BTreeMap<u16, Time>,
     quarantine: Quarantine,
+    /// Losses observed since they were last taken, as fingerprint and number of the loss.
     losses: Vec<(u64, u64)>,
-    salt: u64,
+    /// Makes the numbers of losses unique among daemons.
+    loss_seed: u64,
     rng: fastrand::Rng,
     actions: Vec<Action>,
-    notes: Vec<Decision>,
+    decisions: Vec<Decision>,
     stopping: bool,
     #[cfg(feature = "policies")]
     policy: policy::Policy,
 }
 
 impl Engine {
-    /// An engine without backend servers; equal seeds make equal choices.
+    /// Creates an engine without backend servers. Engines with equal seeds make equal random choices.
     pub fn new(classes: Vec<class::Spec>, limits: Limits, seed: u64) -> Self {
         let mut engine = Self {
             limits,
             classes: Vec::new(),
-            order: Vec::new(),
+            priority_order: Vec::new(),
             backends: BTreeMap::new(),
             tiers: Vec::new(),
-            channels: BTreeMap::new(),
+            links: BTreeMap::new(),
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             timers: BTreeSet::new(),
             held: BTreeMap::new(),
-            looking: None,
+            recheck_at: None,
             next_attempt: 0,
-            choices: 0,
+            picks: 0,
             queued: 0,
             hedges: Budget::new(limits.budgets.hedge_ratio, limits.budgets.hedge_burst),
             retries: Budget::new(limits.budgets.retry_ratio, limits.budgets.retry_burst),
             repeats: BTreeMap::new(),
             warmth: Warmth::new(),
-            words: Announcements::new(),
-            doubted_until: Time::ZERO,
-            pauses_end: Time::ZERO,
-            near_parts: Vec::new(),
-            guessed: BTreeMap::new(),
+            announcements: Announcements::new(),
+            suspended_until: Time::ZERO,
+            last_pause_end: Time::ZERO,
+            near_shares: Vec::new(),
+            loads_estimated_at: BTreeMap::new(),
             quarantine: Quarantine::new(limits.quarantine),
             losses: Vec::new(),
-            salt: seed,
+            loss_seed: seed,
             rng: fastrand::Rng::with_seed(seed),
             actions: Vec::new(),
-            notes: Vec::new(),
+            decisions: Vec::new(),
             stopping: false,
             #[cfg(feature = "policies")]
             policy: policy::Policy::default(),
@@ -119,51 +124,51 @@
         engine
     }
 
-    /// Takes no new requests from now on; those here are finished.
+    /// Refuses new requests from now on; open requests are still finished.
     pub const fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Requests that are refused because they crash servers, by fingerprint.
+    /// Returns the number of fingerprints whose requests are refused because they crashed servers.
     pub fn quarantined(&self, now: Time) -> usize {
-        self.quarantine.refused(now)
+        self.quarantine.count(now)
     }
 
-    /// Requests here.
+    /// Returns the number of open requests, waiting or running.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests, held ones included.
     pub fn queued(&self) -> usize {
         self.queued + self.held()
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Choices of a server so far, those that found none among them: what deciding costs.
-    pub const fn choices(&self) -> u64 {
-        self.choices
+    /// Returns how often a server has been picked, fruitless picks included: a measure of the cost of dispatch.
+    pub const fn picks(&self) -> u64 {
+        self.picks
     }
 
-    /// Backend servers, for showing.
+    /// Returns the backend servers with their observed state.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends.values()
     }
 
-    /// A new request; its answer comes as an action.
+    /// Submits a new request; its answer follows as an [`Action::Answer`].
     pub fn submit(&mut self, arrival: Arrival, now: Time) {
         let Arrival { request, class, fingerprint, bytes, timeout, object } = arrival;
         let service = self.classes[class].next_service();
         self.hedges.earn();
         self.retries.earn();
         self.repeats(service).earn();
-        if let Some(kind) = self.refusal(class, fingerprint, now) {
+        if let Some(kind) = self.admission_error(class, fingerprint, now) {
             let waiting = self.queued();
-            let note = Decision::Refused {
+            let refused = Decision::Refused {
                 request,
                 kind,
                 attempts: 0,
@@ -171,14 +176,14 @@
                 waiting,
                 candidates: [None, None],
             };
-            self.notes.push(note);
-            let after = self.return_after(kind, false, None, now);
-            return self.reject(request, kind, after);
+            self.decisions.push(refused);
+            let retry_after = self.retry_after(kind, false, None, now);
+            return self.answer_error(request, kind, retry_after);
         }
         let spec = &self.classes[class].spec;
         let object = object.filter(|_| spec.affinity).map(|object| base::hash::combine(object, spec.key));
         if object.is_some() {
-            self.guess_loads(service, now);
+            self.estimate_loads(service, now);
         }
         let spec = &self.classes[class].spec;
         let deadline = now + timeout.map_or(spec.deadline, |timeout| timeout.min(spec.deadline));
@@ -191,13 +196,13 @@
             bytes,
             arrived: now,
             deadline,
-            tries: 0,
-            barred: Vec::new(),
+            attempts: 0,
+            excluded: Vec::new(),
             live: Vec::new(),
             hedged: false,
             queued: false,
-            shed_with_room: false,
-            touched: None,
+            shed_with_free_slot: false,
+            may_have_run: None,
         };
         self.requests.insert(request, state);
         self.timers.insert((deadline, Timer::Deadline(request)));
@@ -206,65 +211,66 @@
         }
         let first = self.classes[class].queue.is_empty();
         self.enqueue(request, false);
-        // Behind others that wait there is nothing to try: they could not be placed.
+        // If others of its class wait already, the request cannot be placed either.
         if first {
-            self.pump_class(class, now);
+            self.dispatch_class(class, now);
         }
         if self.queued > 0 {
-            self.look_again(now);
+            self.schedule_recheck(now);
         }
     }
 
-    /// The caller went away: nothing more is done for the request.
+    /// Drops a request whose caller disconnected.
     pub fn abandon(&mut self, request: u64, now: Time) {
-        if let Some(state) = self.close(request) {
-            // Work that must not run twice goes on: broken off, nobody would know what became of it.
+        if let Some(state) = self.remove_request(request) {
+            // Work that must not run twice continues: after a cancellation its outcome would be unknown.
             if self.classes[state.class].spec.idempotent {
                 self.cancel_all(&state.live);
             }
         }
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt, and dispatches requests that wait for its server.
     pub fn finish(&mut self, attempt: u64, ending: Ending, now: Time) {
         let Some(ended) = self.attempts.remove(&attempt) else {
             return;
         };
         self.timers.remove(&(ended.late_at, Timer::Late(attempt)));
-        self.settle(&ended, ending, now);
-        self.conclude(attempt, &ended, ending, now);
-        self.pump_freed(Some(ended.backend), now);
+        self.release(&ended, ending, now);
+        self.resolve(attempt, &ended, ending, now);
+        self.dispatch_waiting_for(Some(ended.backend), now);
     }
 
-    /// Does what is due at `now`.
+    /// Runs the timers that are due at `now`.
     pub fn tick(&mut self, now: Time) {
-        let mut look = false;
+        let mut recheck = false;
         while let Some((at, timer)) = self.timers.first().copied() {
             if at > now {
                 break;
             }
             self.timers.remove(&(at, timer));
             match timer {
-                Timer::Late(attempt) => self.late(attempt, now),
+                Timer::Late(attempt) => self.handle_late(attempt, now),
                 Timer::Deadline(request) => self.expire(request, now),
-                Timer::Look => look = true,
+                Timer::Recheck => recheck = true,
             }
         }
-        if look {
-            self.looking = None;
-            self.pump(now);
+        if recheck {
+            self.recheck_at = None;
+            self.dispatch_waiting(now);
         }
     }
 
-    /// When `tick` has something to do next.
+    /// Returns when `tick` is due next; `None` if no timer is set.
     pub fn next_wakeup(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Takes the actions decided since the last call; notes that were not taken before are dropped.
+    /// Takes the actions decided since the last call. Drops decisions that were not taken before, so call
+    /// `take_decisions` first.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        self.notes.clear();
+        self.decisions.clear();
         std::mem::take(&mut self.actions)
     }
 
