--- a/crates/steer/src/answer.rs
+++ b/crates/steer/src/answer.rs
@@ -1,4 +1,4 @@
-//! One look-up.
+//! Look-ups by the caller's address.
 
 use base::hash;
 
@@ -6,62 +6,63 @@
 use crate::table::{RegionId, Table};
 use crate::view::{MAX_ENTRIES, View};
 
-/// Bits of an address that vary within the smallest block that is steered as one.
+/// Low bits of an address that are ignored: all callers of a block of this size get the same answer.
 const BLOCK_BITS: u32 = 8;
 
-/// Ranked entry instances, by position in the view; no allocation.
+/// Ranked entry instances, as positions in the view; stored without allocation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     positions: [u16; MAX_ENTRIES],
     length: u8,
-    /// The region that the caller is steered to; `None` if no entry instance is known.
+    /// The region that the caller is steered to; `None` if no region has an entry instance to name.
     pub region: Option<RegionId>,
 }
 
 impl Answer {
-    /// Positions in the view, best first.
+    /// Returns the positions in the view, best first.
     pub fn positions(&self) -> &[u16] {
         &self.positions[..usize::from(self.length)]
     }
 
-    fn push(&mut self, position: u16, most: usize) {
+    /// Appends `position` unless it is there already or the answer has `limit` positions.
+    fn push(&mut self, position: u16, limit: usize) {
         let length = usize::from(self.length);
-        if length < most && !self.positions().contains(&position) {
+        if length < limit && !self.positions().contains(&position) {
             self.positions[length] = position;
             self.length += 1;
         }
     }
 
-    fn full(&self, most: usize) -> bool {
-        usize::from(self.length) >= most
+    fn is_full(&self, limit: usize) -> bool {
+        usize::from(self.length) >= limit
     }
 }
 
-/// Answers a look-up for the caller at `address` with at most `most` entry instances.
+/// Answers a look-up for the caller at the IPv4 address `address` with at most `limit` entry instances.
 ///
-/// The home region comes first unless `shares` sends the block elsewhere; the last place is kept for another
-/// region, so that a caller whose region dies has somewhere to go.
-pub fn look_up(table: &Table, view: &View, shares: &Shares, address: u32, most: usize) -> Answer {
-    let most = most.clamp(1, MAX_ENTRIES);
+/// The home region comes first unless `shares` sends the block elsewhere. The last place is reserved for another
+/// region, so that a caller has an alternative when its region fails.
+pub fn look_up(table: &Table, view: &View, shares: &Shares, address: u32, limit: usize) -> Answer {
+    let limit = limit.clamp(1, MAX_ENTRIES);
     let block = hash::pair(u64::from(address >> BLOCK_BITS), 0);
     let mut answer = Answer { positions: [0; MAX_ENTRIES], length: 0, region: None };
-    let home = table.home(address).unwrap_or_else(|| nearest(block, view));
-    let region = first_with(view, shares.region(home, hash::unit(block)), block);
+    let home = table.home(address).unwrap_or_else(|| default_home(block, view));
+    let region = with_entries(view, shares.region(home, hash::unit(block)), block);
     answer.region = region;
     let Some(region) = region else { return answer };
-    let local = if most > 1 { most - 1 } else { most };
+    let local_limit = if limit > 1 { limit - 1 } else { limit };
     for position in view.ranked(region, block) {
-        answer.push(position, local);
+        answer.push(position, local_limit);
     }
-    fill(&mut answer, view, shares, region, block, most);
+    add_other_regions(&mut answer, view, shares, region, block, limit);
     for position in view.ranked(region, block) {
-        answer.push(position, most);
+        answer.push(position, limit);
     }
     answer
 }
 
-/// Fills the answer from other regions that take new callers.
-fn fill(answer: &mut Answer, view: &View, shares: &Shares, used: RegionId, block: u64, most: usize) {
+/// Adds the first entry instance of each other region that accepts callers, until the answer is full.
+fn add_other_regions(answer: &mut Answer, view: &View, shares: &Shares, used: RegionId, block: u64, limit: usize) {
     let regions = view.regions() as RegionId;
     let start = (block % u64::from(regions.max(1))) as RegionId;
     for step in 0..regions {
@@ -70,23 +71,23 @@
             continue;
         }
         if let Some(position) = view.ranked(region, block).next() {
-            answer.push(position, most);
+            answer.push(position, limit);
         }
-        if answer.full(most) {
+        if answer.is_full(limit) {
             return;
         }
     }
 }
 
-/// A region for callers that no block covers: any, evenly.
-fn nearest(block: u64, view: &View) -> RegionId {
+/// Returns the home region of callers that no block covers; these are spread evenly over all regions.
+fn default_home(block: u64, view: &View) -> RegionId {
     (block % view.regions().max(1) as u64) as RegionId
 }
 
-/// `wanted`, or the next region that has an entry instance.
-fn first_with(view: &View, wanted: RegionId, block: u64) -> Option<RegionId> {
-    if view.has_entries(wanted) {
-        return Some(wanted);
+/// Returns `preferred` if it has an entry instance, else another region that has one.
+fn with_entries(view: &View, preferred: RegionId, block: u64) -> Option<RegionId> {
+    if view.has_entries(preferred) {
+        return Some(preferred);
     }
     let regions = view.regions() as RegionId;
     let start = (block >> 32) as RegionId;
--- a/crates/steer/src/by_region.rs
+++ b/crates/steer/src/by_region.rs
@@ -1,21 +1,25 @@
-//! Look-ups of callers that say where they are.
+//! Look-ups of callers that state their region.
 
 use crate::table::RegionId;
 use crate::view::{Standing, View};
 
-/// Positions of up to `most` entry instances for a caller in `region`.
+/// Returns the positions in the view of up to `limit` entry instances for a caller in `region`.
 ///
-/// Those of its own region, all of them, so that callers spread; those of other regions only if it has none. The
-/// doubtful are named only where no good one is left.
-pub fn look_up(view: &View, region: Option<RegionId>, most: usize) -> Vec<u16> {
-    let with = |worst: Standing, inside: bool| {
+/// All entry instances of its own region are named, so that callers spread over them; those of other regions only if
+/// its own has none. Doubtful ones are named only if no good one is left. `None` stands for any region.
+pub fn look_up(view: &View, region: Option<RegionId>, limit: usize) -> Vec<u16> {
+    let matching = |worst: Standing, own_region: bool| {
         let entries = view.entries().iter().enumerate();
-        let fits = entries.filter(|(_, entry)| {
-            entry.standing <= worst && (!inside || region.is_none_or(|region| entry.region == region))
+        let allowed = entries.filter(|(_, entry)| {
+            entry.standing <= worst && (!own_region || region.is_none_or(|region| entry.region == region))
         });
-        fits.map(|(position, _)| position as u16).take(most).collect::<Vec<_>>()
+        allowed.map(|(position, _)| position as u16).take(limit).collect::<Vec<_>>()
     };
-    let steps =
+    let attempts =
         [(Standing::Good, true), (Standing::Good, false), (Standing::Doubtful, true), (Standing::Doubtful, false)];
-    steps.into_iter().map(|(worst, inside)| with(worst, inside)).find(|found| !found.is_empty()).unwrap_or_default()
+    attempts
+        .into_iter()
+        .map(|(worst, own_region)| matching(worst, own_region))
+        .find(|found| !found.is_empty())
+        .unwrap_or_default()
 }
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,7 +1,7 @@
-//! Steering decisions: which entry instances a block of callers should use, and which share of links and
-//! regions a daemon may use.
+//! Steering decisions: which entry instances a block of callers should use, and which share of links and regions a
+//! daemon may use.
 //!
-//! All of it is pure: input and the present time go in, a decision comes out.
+//! This crate does no I/O and reads no clock: each decision depends on its arguments and the time passed in.
 
 pub mod answer;
 pub mod by_region;
--- a/crates/steer/src/table.rs
+++ b/crates/steer/src/table.rs
@@ -1,14 +1,14 @@
-//! Home regions of blocks of callers, compactly.
+//! A compact table from blocks of callers to their home regions.
 
 use config::policy::Policy;
 
 /// A region's position in the ordered list of regions.
 pub type RegionId = u16;
 
-/// No region.
-const NONE: RegionId = RegionId::MAX;
+/// Marks a range that no block covers.
+const NO_REGION: RegionId = RegionId::MAX;
 
-/// A block of addresses with its home.
+/// A block of IPv4 addresses with its home region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Block {
     /// First address.
@@ -20,20 +20,23 @@
 }
 
 impl Block {
+    /// Returns the last address.
     const fn last(self) -> u32 {
         self.first | u32::MAX.wrapping_shr(self.length as u32) & if self.length == 32 { 0 } else { u32::MAX }
     }
 }
 
-/// Disjoint ranges of addresses in order; six bytes a range.
+/// Disjoint ranges of addresses in ascending order; six bytes a range.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Table {
+    /// First address of each range; a range ends where the next one starts.
     starts: Vec<u32>,
+    /// Home region of each range.
     regions: Vec<RegionId>,
 }
 
 impl Table {
-    /// A table of `blocks`; where blocks nest, the longer prefix wins.
+    /// Creates a table of `blocks`; where blocks are nested, the longest prefix applies.
     pub fn new(mut blocks: Vec<Block>) -> Self {
         blocks.sort_by_key(|block| (block.first, block.length));
         let mut table = Self::default();
@@ -49,7 +52,7 @@
         table
     }
 
-    /// A table of the blocks in `policy`.
+    /// Creates a table of the blocks in `policy`.
     pub fn from_policy(policy: &Policy) -> Self {
         let regions: Vec<&String> = policy.regions.keys().collect();
         let blocks = policy.blocks.iter().filter_map(|block| {
@@ -60,14 +63,14 @@
         Self::new(blocks.collect())
     }
 
-    /// The home region of `address`; `None` if no block covers it.
+    /// Returns the home region of `address`; `None` if no block covers it.
     pub fn home(&self, address: u32) -> Option<RegionId> {
         let after = self.starts.partition_point(|start| *start <= address);
         let region = *self.regions.get(after.checked_sub(1)?)?;
-        (region != NONE).then_some(region)
+        (region != NO_REGION).then_some(region)
     }
 
-    /// Ranges in the table.
+    /// Returns the number of ranges in the table.
     pub const fn len(&self) -> usize {
         self.starts.len()
     }
@@ -77,12 +80,12 @@
         self.starts.is_empty()
     }
 
-    /// Bytes of memory that the ranges take.
+    /// Returns the memory used by the ranges, in bytes.
     pub const fn bytes(&self) -> usize {
         self.starts.capacity() * size_of::<u32>() + self.regions.capacity() * size_of::<RegionId>()
     }
 
-    /// Ends the open blocks that end before `next`; what encloses them goes on.
+    /// Closes the open blocks that end before `next`; after each, the block that encloses it continues.
     fn close(&mut self, open: &mut Vec<Block>, next: Option<u32>) {
         while let Some(block) = open.last().copied() {
             if next.is_some_and(|next| next <= block.last()) {
@@ -93,10 +96,11 @@
                 continue;
             };
             let outer = open.last().filter(|outer| outer.last() >= after);
-            self.push(after, outer.map_or(NONE, |outer| outer.region));
+            self.push(after, outer.map_or(NO_REGION, |outer| outer.region));
         }
     }
 
+    /// Starts a range; replaces the previous one if that is empty, and extends it if it has the same region.
     fn push(&mut self, start: u32, region: RegionId) {
         if self.starts.last() == Some(&start) {
             self.regions.pop();
--- a/crates/steer/tests/answers.rs
+++ b/crates/steer/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Look-ups: home regions, drains, wrong lists and shifts.
+//! Look-ups: home regions, drains, wrong lists of instances, and callers moved between regions.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use steer::table::{Block, Table};
 use steer::view::{Entry, Standing, View};
 
-const KEPT: Duration = Duration::from_secs(10);
+const ANSWER_TTL: Duration = Duration::from_secs(10);
 const START: Time = Time::from_millis(1_000_000);
 
 fn entry(region: u16, domain: u16, number: usize, standing: Standing) -> Entry {
@@ -18,6 +18,7 @@
     Entry { address: format!("127.0.0.{number}:7000"), name, region, domain: region * 2 + domain, standing }
 }
 
+/// Three regions with two failure domains each and two entry instances in each of these.
 fn view(standing: impl Fn(u16, u16) -> Standing) -> View {
     let all =
         (0..3).flat_map(|region| (0..2).flat_map(move |domain| (0..2).map(move |number| (region, domain, number))));
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn callers_get_their_home_first_two_domains_and_another_region() {
+fn callers_get_two_domains_of_their_home_region_and_another_region() {
     let view = view(|_, _| Standing::Good);
     for host in (0..65_536).step_by(97) {
         let answer = look_up(&table(), &view, &Shares::home(3), address(2, host), 3);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn entries_share_the_callers() {
+fn callers_are_spread_over_the_entries_of_their_home_region() {
     let view = view(|_, _| Standing::Good);
     let mut counts = [0_u32; 12];
     for host in 0..65_536 {
@@ -68,9 +69,9 @@
 #[rstest]
 #[case::a_domain_is_out(|_, domain| if domain == 0 { Standing::Out } else { Standing::Good }, 0)]
 #[case::a_region_is_out(|region, _| if region == 0 { Standing::Out } else { Standing::Good }, 1)]
-#[case::all_of_a_region_doubted(|region, _| if region == 0 { Standing::Doubtful } else { Standing::Good }, 0)]
-#[case::everything_doubted(|_, _| Standing::Doubtful, 0)]
-fn what_is_out_is_not_named(#[case] standing: fn(u16, u16) -> Standing, #[case] lowest: u16) {
+#[case::a_whole_region_is_doubtful(|region, _| if region == 0 { Standing::Doubtful } else { Standing::Good }, 0)]
+#[case::everything_is_doubtful(|_, _| Standing::Doubtful, 0)]
+fn an_entry_that_is_out_is_not_named(#[case] standing: fn(u16, u16) -> Standing, #[case] lowest: u16) {
     let view = view(standing);
     for host in (0..65_536).step_by(97) {
         let answer = look_up(&table(), &view, &Shares::home(3), address(1, host), 3);
@@ -85,10 +86,10 @@
 }
 
 #[test]
-fn a_block_keeps_its_entries_when_another_entry_goes() {
+fn a_block_keeps_its_entry_when_another_entry_is_removed() {
     let before = view(|_, _| Standing::Good);
     let after = view(|region, domain| if (region, domain) == (0, 1) { Standing::Out } else { Standing::Good });
-    let mut kept = 0;
+    let mut unchanged = 0;
     let mut moved = 0;
     for host in (0..65_536).step_by(256) {
         let first = |view: &View| {
@@ -97,17 +98,17 @@
         };
         let (old, new) = (first(&before), first(&after));
         if old.as_ref().is_some_and(|name| name.contains("d0")) {
-            if old == new { kept += 1 } else { moved += 1 }
+            if old == new { unchanged += 1 } else { moved += 1 }
         }
     }
-    assert_eq!(moved, 0, "{kept} blocks stayed");
+    assert_eq!(moved, 0, "{unchanged} blocks kept their entry");
 }
 
 fn load(busy: f64, drained: bool, now: Time) -> Load {
     Load { busy, slots: 100.0, at: now, drained, down: false }
 }
 
-/// Runs a controller for `seconds` on what `busy` says.
+/// Updates a controller with `loads` once a second for `seconds`.
 fn run(controller: &mut Controller, from: u64, seconds: u64, loads: impl Fn(Time) -> Vec<Load>) {
     for second in from..from + seconds {
         let now = START + Duration::from_secs(second);
@@ -117,43 +118,43 @@
 
 #[test]
 fn a_drained_region_loses_its_callers_step_by_step() {
-    let mut controller = Controller::new(3, KEPT, START);
+    let mut controller = Controller::new(3, ANSWER_TTL, START);
     let mut last = 1.0;
     for second in 0..=RAMP_TIME.as_secs() {
         let now = START + Duration::from_secs(second);
         controller.update(&[load(10.0, true, now), load(10.0, false, now), load(10.0, false, now)], now);
         let home = controller.shares().share(0, 0);
-        assert!(last - home <= 0.06, "no more than a twentieth moves in a second");
+        assert!(last - home <= 0.06, "at most a twentieth of the callers moves in a second");
         last = home;
     }
-    assert!(last.abs() < 1e-9, "{last} of the callers are left");
+    assert!(last.abs() < 1e-9, "{last} of the callers remain");
     let view = view(|_, _| Standing::Good);
     assert!((0..256).all(|host| first_region(&view, controller.shares(), address(1, host << 8)) != 0));
 }
 
 #[test]
-fn a_shift_fits_into_what_the_others_have() {
-    // All regions step on the same stale reports, and nothing they do shows before the reports change.
-    let mut controller = Controller::new(3, KEPT, START);
+fn a_shift_fits_into_the_spare_capacity_of_the_others() {
+    // All regions take steps on the same reports, which never show the effect of these steps.
+    let mut controller = Controller::new(3, ANSWER_TTL, START);
     run(&mut controller, 0, 600, |now| vec![load(95.0, false, now), load(95.0, false, now), load(70.0, false, now)]);
     let shares = controller.shares();
     let arrived = 95.0 * shares.share(0, 2) + 95.0 * shares.share(1, 2);
-    assert!(arrived <= 100.0 - 70.0, "{arrived} slots' worth of work was sent to 30 free ones");
+    assert!(arrived <= 100.0 - 70.0, "work for {arrived} slots was sent to 30 free ones");
     assert!(arrived > 1.0, "some of the excess moves");
 }
 
 #[rstest]
 #[case::steady(50.0)]
 #[case::between_the_marks(75.0)]
-fn a_region_within_its_marks_keeps_its_callers(#[case] busy: f64) {
-    let mut controller = Controller::new(3, KEPT, START);
+fn a_region_below_the_high_water_mark_keeps_its_callers(#[case] busy: f64) {
+    let mut controller = Controller::new(3, ANSWER_TTL, START);
     run(&mut controller, 0, 300, |now| vec![load(busy, false, now); 3]);
     assert_eq!(controller.shares(), &Shares::home(3));
 }
 
 #[test]
-fn stale_reports_move_nothing() {
-    let mut controller = Controller::new(3, KEPT, START);
+fn stale_reports_move_no_callers() {
+    let mut controller = Controller::new(3, ANSWER_TTL, START);
     run(&mut controller, 100, 300, |_| {
         vec![load(95.0, false, START), load(10.0, false, START), load(10.0, false, START)]
     });
@@ -161,14 +162,14 @@
 }
 
 #[test]
-fn callers_come_back_slowly() {
-    let mut controller = Controller::new(3, KEPT, START);
+fn callers_return_slowly() {
+    let mut controller = Controller::new(3, ANSWER_TTL, START);
     let hot = |now| vec![load(95.0, false, now), load(10.0, false, now), load(10.0, false, now)];
     run(&mut controller, 0, 200, hot);
     let moved = 1.0 - controller.shares().share(0, 0);
     assert!(moved > 0.1, "{moved} moved");
     run(&mut controller, 200, 20, |now| vec![load(HIGH_WATER * 90.0, false, now); 3]);
-    assert!((1.0 - controller.shares().share(0, 0) - moved).abs() < 0.051, "no swing back between the marks");
+    assert!((1.0 - controller.shares().share(0, 0) - moved).abs() < 0.051, "no callers return between the marks");
     run(&mut controller, 220, 600, |now| vec![load(30.0, false, now); 3]);
     assert!((controller.shares().share(0, 0) - 1.0).abs() < 1e-9);
 }
@@ -176,7 +177,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// The table says the same as a search for the longest prefix.
+    /// The table returns the same region as a search for the longest prefix.
     #[test]
     fn the_longest_prefix_wins(raw in prop::collection::vec((0_u32..64, 24_u8..=32, 0_u16..5), 0..30), probes in prop::collection::vec(0_u32..70_000, 20)) {
         let base = 10 << 24;
@@ -206,17 +207,17 @@
 
 #[test]
 fn a_region_that_returns_regains_its_callers_step_by_step() {
-    let mut controller = Controller::new(3, KEPT, START);
-    let loads = |now, gone| {
+    let mut controller = Controller::new(3, ANSWER_TTL, START);
+    let loads = |now, down| {
         let mut loads = vec![load(10.0, false, now); 3];
-        loads[0].down = gone;
+        loads[0].down = down;
         loads
     };
     run(&mut controller, 0, 5, |now| loads(now, true));
-    assert!(controller.shares().share(0, 0) < 1e-9, "a region that is gone has no callers");
+    assert!(controller.shares().share(0, 0) < 1e-9, "a region that is down has no callers");
     run(&mut controller, 5, 1, |now| loads(now, false));
     let first = controller.shares().share(0, 0);
-    assert!(first > 0.0 && first < 0.06, "{first} of the callers come back in the first second");
+    assert!(first > 0.0 && first < 0.06, "{first} of the callers returned in the first second");
     run(&mut controller, 6, RAMP_TIME.as_secs(), |now| loads(now, false));
     assert!((controller.shares().share(0, 0) - 1.0).abs() < 1e-9);
 }
--- a/crates/steer/tests/grants.rs
+++ b/crates/steer/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Grants of one region, held by several daemons, never add up to more than the whole.
+//! The shares of a region's grants that several daemons hold never add up to more than one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -23,16 +23,16 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A daemon looks at its plan; it believes that so many share the region.
+    /// A daemon executes its next operation; it assumes that this many daemons share the region.
     Turn(usize, usize, Fault),
-    /// Time passes for all; a daemon that takes no turn in it is paused.
-    Pass(u32),
+    /// This many seconds pass for all; a daemon without a turn in them is paused.
+    Advance(u32),
     DeliverLate(usize),
     Restart(usize),
 }
 
 struct Daemon {
-    keeper: Manager,
+    manager: Manager,
     lease: Option<Lease>,
     token: u64,
 }
@@ -43,13 +43,13 @@
     late: Vec<Vec<Change>>,
     now: Time,
     tokens: u64,
-    /// Off: a daemon goes on using its slots for as long as it likes.
+    /// If `false`, daemons use their slots without regard to the end of the lease.
     fenced: bool,
 }
 
 impl World {
     fn new(fenced: bool) -> Self {
-        let daemon = |token| Daemon { keeper: Manager::new(), lease: None, token };
+        let daemon = |token| Daemon { manager: Manager::new(), lease: None, token };
         let daemons = (0..DAEMONS as u64).map(daemon).collect();
         Self { store: State::new(), daemons, late: Vec::new(), now: Time::from_millis(1), tokens: 100, fenced }
     }
@@ -57,7 +57,7 @@
     fn play(&mut self, event: Event) {
         match event {
             Event::Turn(which, live, fault) => self.turn(which, live, fault),
-            Event::Pass(seconds) => self.now = self.now + Duration::from_secs(seconds.into()),
+            Event::Advance(seconds) => self.now = self.now + Duration::from_secs(seconds.into()),
             Event::DeliverLate(which) => {
                 if let Some(index) = which.checked_rem(self.late.len()) {
                     let changes = self.late.remove(index);
@@ -66,32 +66,32 @@
             }
             Event::Restart(which) => {
                 self.tokens += 1;
-                self.daemons[which] = Daemon { keeper: Manager::new(), lease: None, token: self.tokens };
+                self.daemons[which] = Daemon { manager: Manager::new(), lease: None, token: self.tokens };
             }
         }
     }
 
     fn turn(&mut self, which: usize, live: usize, fault: Fault) {
         let now = self.now;
-        let plan = self.daemons[which].keeper.plan(live, now);
+        let plan = self.daemons[which].manager.plan(live, now);
         let lease = self.daemons[which].lease;
         match (plan, lease) {
             (Plan::Wait, _) => {}
             (Plan::CreateLease, _) | (_, None) => {
                 if fault == Fault::None {
                     self.daemons[which].lease = Some(self.store.grant(LEASE_TTL, now));
-                    self.daemons[which].keeper.record_lease(now);
+                    self.daemons[which].manager.record_lease(now);
                 }
             }
             (Plan::RenewLease, Some(lease)) => match (fault, self.store.renew(lease, now)) {
-                (Fault::None, true) => self.daemons[which].keeper.record_lease(now),
-                (Fault::None, false) => self.daemons[which].keeper.record_lease_lost(),
+                (Fault::None, true) => self.daemons[which].manager.record_lease(now),
+                (Fault::None, false) => self.daemons[which].manager.record_lease_lost(),
                 _ => {}
             },
-            (Plan::Acquire(count), Some(lease)) => self.take(which, lease, count, fault),
+            (Plan::Acquire(count), Some(lease)) => self.acquire(which, lease, count, fault),
             (Plan::Release(slots), Some(_)) => {
                 for (number, _) in &slots {
-                    self.daemons[which].keeper.record_released(*number);
+                    self.daemons[which].manager.record_released(*number);
                 }
                 let delete = |(number, revision): &(u32, u64)| Change::delete(&key::grant(REGION, *number), *revision);
                 self.commit(slots.iter().map(delete).collect(), fault);
@@ -99,7 +99,7 @@
         }
     }
 
-    fn take(&mut self, which: usize, lease: Lease, count: u32, fault: Fault) {
+    fn acquire(&mut self, which: usize, lease: Lease, count: u32, fault: Fault) {
         if fault == Fault::Down {
             return;
         }
@@ -110,7 +110,7 @@
         let number = |key: &str| {
             key.rsplit('/').next().and_then(|text| text.parse::<u32>().ok()).expect("slot keys end in numbers")
         };
-        let held: BTreeSet<u32> = self.daemons[which].keeper.held().collect();
+        let held: BTreeSet<u32> = self.daemons[which].manager.held().collect();
         let known: BTreeSet<u32> = entries.iter().map(|entry| number(&entry.key)).collect();
         let ours = entries.iter().filter(|entry| entry.value == token && !held.contains(&number(&entry.key)));
         let ours = ours.map(|entry| (number(&entry.key), entry.revision));
@@ -122,11 +122,11 @@
         let changes: Vec<Change> = wanted.iter().map(set).collect();
         if changes.is_empty() {
             let now = self.now;
-            return self.daemons[which].keeper.retry_soon(now);
+            return self.daemons[which].manager.retry_soon(now);
         }
         if let Some(revision) = self.commit(changes, fault) {
             for (slot, _) in wanted {
-                self.daemons[which].keeper.record_acquired(slot, revision);
+                self.daemons[which].manager.record_acquired(slot, revision);
             }
         }
     }
@@ -149,12 +149,13 @@
         }
     }
 
+    /// Returns the sum of the shares that the daemons use.
     fn used(&self) -> f64 {
         let share = |daemon: &Daemon| {
             if self.fenced {
-                return daemon.keeper.share(self.now);
+                return daemon.manager.share(self.now);
             }
-            daemon.keeper.held().count() as f64 / f64::from(SLOTS)
+            daemon.manager.held().count() as f64 / f64::from(SLOTS)
         };
         self.daemons.iter().map(share).sum()
     }
@@ -164,40 +165,40 @@
     let fault = prop_oneof![4 => Just(Fault::None), 1 => Just(Fault::Down), 1 => Just(Fault::LoseAnswer), 1 => Just(Fault::Late)];
     prop_oneof![
         8 => (0..DAEMONS, 1_usize..6, fault).prop_map(|(which, live, fault)| Event::Turn(which, live, fault)),
-        4 => prop_oneof![1_u32..60, 60_u32..10_000].prop_map(Event::Pass),
+        4 => prop_oneof![1_u32..60, 60_u32..10_000].prop_map(Event::Advance),
         2 => any::<usize>().prop_map(Event::DeliverLate),
         1 => (0..DAEMONS).prop_map(Event::Restart),
     ]
 }
 
-/// The largest sum of shares seen in `cases` schedules.
-fn most_used(fenced: bool, cases: u32) -> f64 {
+/// Returns the largest sum of shares used at any time in `cases` schedules.
+fn max_used(fenced: bool, cases: u32) -> f64 {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let config = Config { cases, failure_persistence: None, ..Config::default() };
-    let most = std::cell::Cell::new(0.0_f64);
+    let max = std::cell::Cell::new(0.0_f64);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let ran = runner.run(&prop::collection::vec(event(), 1..200), |schedule| {
         let mut world = World::new(fenced);
         for event in schedule {
             world.play(event);
-            most.set(most.get().max(world.used()));
+            max.set(max.get().max(world.used()));
         }
         Ok(())
     });
     assert!(ran.is_ok(), "{ran:?}");
-    most.get()
+    max.get()
 }
 
 #[test]
-fn shares_never_pass_the_whole() {
-    let most = most_used(true, 400);
-    assert!(most <= 1.0, "{most} of the whole was used");
-    assert!(most > 0.9, "the whole is put to use, not only {most}");
+fn shares_never_add_up_to_more_than_one() {
+    let max = max_used(true, 400);
+    assert!(max <= 1.0, "{max} of the grants was used");
+    assert!(max > 0.9, "nearly all grants are used, not only {max}");
 }
 
 #[test]
-fn without_the_fence_the_check_fails() {
-    assert!(most_used(false, 400) > 1.0);
+fn the_check_fails_without_fencing() {
+    assert!(max_used(false, 400) > 1.0);
 }
 
 #[test]
@@ -207,23 +208,23 @@
         world.play(Event::Turn(0, 1, Fault::None));
     }
     assert!(world.used() > 0.9);
-    world.play(Event::Pass(3_600));
+    world.play(Event::Advance(3_600));
     world.play(Event::Turn(0, 1, Fault::Down));
-    assert!(world.used() > 0.9, "an hour without the store changes nothing");
+    assert!(world.used() > 0.9, "the share is kept for an hour without the store");
 }
 
 #[test]
-fn a_newcomer_gets_its_part_within_seconds() {
+fn a_new_daemon_gets_its_share_within_seconds() {
     let mut world = World::new(true);
-    // The first takes all, since it knows of nobody else; then the second comes, seconds after the clock started.
+    // The first daemon acquires all slots, since it knows no other; the second one starts a few seconds later.
     for _ in 0..3 {
         world.play(Event::Turn(0, 1, Fault::None));
     }
     for _ in 0..4 {
-        world.play(Event::Pass(2));
+        world.play(Event::Advance(2));
         world.play(Event::Turn(1, 2, Fault::None));
         world.play(Event::Turn(0, 2, Fault::None));
     }
     let now = world.now;
-    assert!((world.daemons[1].keeper.share(now) - 0.5).abs() < 0.01);
+    assert!((world.daemons[1].manager.share(now) - 0.5).abs() < 0.01);
 }
