--- a/crates/ledger/src/acquire.rs
+++ b/crates/ledger/src/acquire.rs
@@ -1,118 +1,121 @@
-//! Making a claim in the store: lost answers are resolved by reading back, never by assuming.
+//! Acquisition of a claim in the store. After a lost answer the claim is read back; success is never assumed.
 
 use base::time::Time;
 
 use crate::claim::Claim;
 
-/// What to do next.
+/// The next call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Write the claim if the key's revision is this; zero if it must be absent.
+    /// Write the claim if the key has this revision; zero if the key must be absent.
     Write(u64),
     /// Read the claim.
     Read,
-    /// Ask the daemon that made this claim, which stands at this revision.
+    /// Ask the daemon that made this claim, stored at this revision.
     Ask(Claim, u64),
 }
 
-/// What another daemon can say of a key it claimed.
+/// The status of a key at the daemon that claimed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Status<A> {
-    /// It ran, and this was the answer.
+    /// The request ran, with this answer.
     Ran(A),
-    /// It runs now.
+    /// The request is running.
     Running,
-    /// It was never run here and never will be under this claim.
+    /// The request never ran there and never will under this claim.
     NeverRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// What a call gave.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply<A> {
     /// The write took effect at this revision.
     Written(u64),
     /// The write found another revision.
     Conflict,
-    /// The claim read, with its revision; `None` if absent.
+    /// The claim that was read, with its revision; `None` if absent.
     Found(Option<(Claim, u64)>),
-    /// Nothing was sent.
+    /// The call had no effect, for example because it was not sent.
     Unsent,
     /// The answer was lost; a write may have taken effect.
     Lost,
-    /// The claimant's word on its claim, which stood at this revision.
+    /// The status at the claimant, whose claim was stored at this revision.
     Status(Status<A>, u64),
 }
 
-/// What the claim has come to.
+/// The result of an acquisition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome<A> {
-    /// It is ours, made now, at this revision.
+    /// The claim is ours; it was written just now, at this revision.
     Acquired(u64),
-    /// Another daemon ran it, and this was the answer.
+    /// Another daemon ran the request, with this answer.
     Ran(A),
-    /// Another daemon runs it now.
+    /// Another daemon is running the request.
     Running,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The key stands for another request.
+    /// The key was claimed for another request.
     KeyReused,
-    /// Nothing reliable was learned.
+    /// The state of the claim could not be determined.
     Unavailable,
 }
 
-/// The next call, or the end.
+/// What the caller of an acquisition does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action<A> {
-    /// Make this call.
+    /// Make this call and pass its reply to [`Acquisition::handle`].
     Call(Call),
-    /// The claim has come to this.
+    /// The acquisition ended with this result.
     Finish(Outcome<A>),
 }
 
-/// Makes one claim.
+/// The state machine that acquires one claim.
 #[derive(Debug, Clone)]
 pub struct Acquisition {
     incarnation: u64,
     fingerprint: u64,
-    /// The ledger remembers that nothing was sent for the key.
+    /// Whether the ledger records that nothing was sent to a backend server for the key.
     unsent: bool,
-    give_up: Time,
+    deadline: Time,
 }
 
 impl Acquisition {
-    /// Makes a claim for `incarnation` until `give_up`; `unsent` says that the ledger remembers the key as unsent.
-    pub const fn new(incarnation: u64, fingerprint: u64, unsent: bool, give_up: Time) -> Self {
-        Self { incarnation, fingerprint, unsent, give_up }
+    /// Creates an acquisition for `incarnation` that ends at `deadline`.
+    ///
+    /// `unsent` states that, by the ledger, nothing was sent to a backend server for the key.
+    pub const fn new(incarnation: u64, fingerprint: u64, unsent: bool, deadline: Time) -> Self {
+        Self { incarnation, fingerprint, unsent, deadline }
     }
 
-    /// The first call.
+    /// Returns the first call.
     pub const fn start<A>(&self) -> Action<A> {
         Action::Call(Call::Write(0))
     }
 
-    /// The next call, or the end, after `reply`.
+    /// Returns the next call, or the result, after `reply`.
     ///
-    /// A claim counts as ours only after a write of ours took effect in answer to this very send: another
-    /// daemon may have been told that an older claim of ours was never run, and be taking it over.
+    /// A claim counts as ours only after a write made for this send took effect: another daemon may have been told that
+    /// the request of an older claim of ours never ran, and may be taking that claim over.
     pub fn handle<A>(&self, reply: Reply<A>, now: Time) -> Action<A> {
-        let late = now >= self.give_up;
+        let expired = now >= self.deadline;
         match reply {
             Reply::Written(revision) => Action::Finish(Outcome::Acquired(revision)),
             Reply::Status(Status::Ran(answer), _) => Action::Finish(Outcome::Ran(answer)),
             Reply::Status(Status::Running, _) => Action::Finish(Outcome::Running),
             Reply::Status(Status::Unknown, _) => Action::Finish(Outcome::Unknown),
             Reply::Unsent => Action::Finish(Outcome::Unavailable),
-            _ if late => Action::Finish(Outcome::Unavailable),
+            _ if expired => Action::Finish(Outcome::Unavailable),
             Reply::Status(Status::NeverRun, revision) => Action::Call(Call::Write(revision)),
             Reply::Conflict | Reply::Lost => Action::Call(Call::Read),
             Reply::Found(None) => Action::Call(Call::Write(0)),
-            Reply::Found(Some((claim, revision))) => self.found(claim, revision),
+            Reply::Found(Some((claim, revision))) => self.handle_found(claim, revision),
         }
     }
 
-    fn found<A>(&self, claim: Claim, revision: u64) -> Action<A> {
+    /// Returns the next action after the claim was read.
+    fn handle_found<A>(&self, claim: Claim, revision: u64) -> Action<A> {
         if claim.fingerprint != self.fingerprint {
             return Action::Finish(Outcome::KeyReused);
         }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,7 +1,7 @@
-//! Running a non-idempotent request at most once.
+//! Execution of non-idempotent requests at most once.
 //!
-//! [`Ledger`] is one daemon's memory of idempotency keys; the platform's store arbitrates between daemons. A
-//! request runs only after its claim was made there by compare-and-swap, or after it was claimed here in a
+//! [`Ledger`] holds the idempotency keys that one daemon knows; the platform's store arbitrates between daemons. A
+//! request runs only after its claim was written to the store by compare-and-swap, or after it was claimed here in a
 //! session of this incarnation. See `docs/design/at-most-once.md`.
 
 pub mod acquire;
--- a/crates/ledger/src/table.rs
+++ b/crates/ledger/src/table.rs
@@ -1,4 +1,4 @@
-//! The state machine of one daemon's keys.
+//! The state machine of the idempotency keys of one daemon.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use crate::acquire::{Outcome, Status};
 use crate::cache::Cache;
 
-/// Keys of claims in the store remembered at most; what is forgotten counts as perhaps run.
-const MOST_STORED: usize = 65_536;
+/// Maximum number of keys with claims in the store; the request of an evicted key counts as one that may have run.
+const MAX_STORED_KEYS: usize = 65_536;
 
-/// What to do with a request that came.
+/// What to do with a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission<A> {
-    /// Make its claim in the store, then call [`Ledger::finish_claim`].
+    /// Acquire its claim in the store, then call [`Ledger::finish_claim`].
     Claim,
     /// Run it.
     Run,
-    /// Answer with the answer of an earlier send.
+    /// Answer it with this answer of an earlier send.
     Replay(A),
     /// Refuse it.
     Refuse(Kind),
@@ -27,56 +27,61 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// The claim is being made.
+    /// The claim is being acquired.
     Claiming,
-    /// The claim is ours and the request may be sent from now on.
+    /// The claim is ours, and the request may be sent to a backend server from now on.
     Running,
-    /// The claim may stand in the store under our name, but nothing was sent.
-    Idle,
-    /// The request may have run.
+    /// The claim may be stored as ours, but nothing was sent to a backend server.
+    Unsent,
+    /// The request ran or may have run.
     Done,
-    /// Another daemon was told that we never run it under this claim.
-    GivenUp,
+    /// Another daemon was told that the request never runs here under this claim.
+    Yielded,
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
     state: State,
     fingerprint: u64,
+    /// Whether the key belongs to a session of this incarnation; such a key has no claim in the store.
     session: bool,
-    /// Whether a claim under our name may stand in the store.
-    stored: bool,
-    changed: Time,
+    /// Whether the store may have a claim of ours.
+    may_be_stored: bool,
+    /// When the state last changed.
+    changed_at: Time,
 }
 
 /// Limits of a ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// How long a key is remembered.
+    /// How long a key is kept after its state last changed.
     pub retention: Duration,
-    /// Keys of sessions at most.
+    /// Maximum number of keys of sessions.
     pub max_session_keys: usize,
-    /// Answers kept, in bytes.
+    /// Maximum total size of the answers kept, in bytes.
     pub max_answer_bytes: u64,
 }
 
-/// One daemon's keys.
+/// The idempotency keys of one daemon, with their answers of type `A`.
 #[derive(Debug, Clone)]
 pub struct Ledger<A> {
     limits: Limits,
     entries: BTreeMap<u128, Entry>,
-    sessions: usize,
-    kept: Cache<A>,
+    /// Number of entries that belong to sessions.
+    session_keys: usize,
+    answers: Cache<A>,
 }
 
 impl<A: Clone> Ledger<A> {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub const fn new(limits: Limits) -> Self {
-        let kept = Cache::new(limits.max_answer_bytes);
-        Self { limits, entries: BTreeMap::new(), sessions: 0, kept }
+        let answers = Cache::new(limits.max_answer_bytes);
+        Self { limits, entries: BTreeMap::new(), session_keys: 0, answers }
     }
 
-    /// A request with `key` came; `session` says that the key belongs to a session of this incarnation.
+    /// Records a request with `key` and returns what to do with it.
+    ///
+    /// `session` states that the key belongs to a session of this incarnation.
     pub fn begin(&mut self, key: u128, fingerprint: u64, session: bool, now: Time) -> Admission<A> {
         if let Some(entry) = self.entries.get_mut(&key) {
             if entry.fingerprint != fingerprint {
@@ -84,52 +89,54 @@
             }
             return match entry.state {
                 State::Claiming | State::Running => Admission::Refuse(Kind::StillRunning),
-                State::Done | State::GivenUp => self.again(key),
-                State::Idle => {
+                State::Done | State::Yielded => self.resend(key),
+                State::Unsent => {
                     entry.state = if session { State::Running } else { State::Claiming };
-                    entry.changed = now;
+                    entry.changed_at = now;
                     if session { Admission::Run } else { Admission::Claim }
                 }
             };
         }
-        if session && !self.room_for_session(now) {
+        if session && !self.has_session_capacity(now) {
             return Admission::Refuse(Kind::ClaimUnavailable);
         }
-        self.make_room(now);
+        self.evict_oldest(now);
         let state = if session { State::Running } else { State::Claiming };
-        self.sessions += usize::from(session);
-        self.entries.insert(key, Entry { state, fingerprint, session, stored: false, changed: now });
+        self.session_keys += usize::from(session);
+        self.entries.insert(key, Entry { state, fingerprint, session, may_be_stored: false, changed_at: now });
         if session { Admission::Run } else { Admission::Claim }
     }
 
-    /// The claim of `key` is about to be sent to the store.
+    /// Records that the claim of `key` is about to be sent to the store.
     pub fn record_claim_sent(&mut self, key: u128) {
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.stored = true;
+            entry.may_be_stored = true;
         }
     }
 
-    /// The claim of `key` has come to `held`; called once for each [`Admission::Claim`].
-    pub fn finish_claim(&mut self, key: u128, held: Outcome<A>, now: Time) -> Admission<A> {
+    /// Records the `outcome` of acquiring the claim of `key`, and returns what to do with the request.
+    ///
+    /// Must be called once for each [`Admission::Claim`].
+    pub fn finish_claim(&mut self, key: u128, outcome: Outcome<A>, now: Time) -> Admission<A> {
         let Some(entry) = self.entries.get_mut(&key) else {
             return Admission::Refuse(Kind::AlreadyClaimed);
         };
         if entry.state != State::Claiming {
             return Admission::Refuse(Kind::AlreadyClaimed);
         }
-        entry.changed = now;
-        match held {
+        entry.changed_at = now;
+        match outcome {
             Outcome::Acquired(_) => {
                 entry.state = State::Running;
                 return Admission::Run;
             }
-            Outcome::Unavailable if entry.stored => {
-                entry.state = State::Idle;
+            Outcome::Unavailable if entry.may_be_stored => {
+                entry.state = State::Unsent;
                 return Admission::Refuse(Kind::ClaimUnavailable);
             }
             _ => self.remove(key),
         }
-        match held {
+        match outcome {
             Outcome::Ran(answer) => Admission::Replay(answer),
             Outcome::Running => Admission::Refuse(Kind::StillRunning),
             Outcome::KeyReused => Admission::Refuse(Kind::KeyReused),
@@ -138,21 +145,21 @@
         }
     }
 
-    /// Whether `key` is being claimed and nothing was sent for it, so a claim of ours in the store is unused.
+    /// Whether `key` is being claimed and nothing was sent for it, so that a stored claim of ours is unused.
     ///
-    /// Such a claim may be replaced by compare-and-swap at its revision, and counts as ours only once that is done:
-    /// a peer that was told [`Status::NeverRun`] may be taking it over at the same revision.
+    /// Such a claim may be replaced by compare-and-swap at its revision. It counts as ours only after that: a peer that
+    /// was told [`Status::NeverRun`] may be taking it over at the same revision.
     pub fn is_unsent(&self, key: u128) -> bool {
         self.entries.get(&key).is_some_and(|entry| entry.state == State::Claiming)
     }
 
-    /// A request that ran, or was to run, got its whole answer.
+    /// Records the complete answer, of `bytes` bytes, of a request.
     pub fn record_answer(&mut self, key: u128, answer: A, bytes: u64, now: Time) {
-        self.set(key, State::Done, now);
-        self.kept.put(key, answer, bytes);
+        self.set_state(key, State::Done, now);
+        self.answers.put(key, answer, bytes);
     }
 
-    /// A request ended with an error; `true` if its claim should be deleted from the store.
+    /// Records that a request ended with an error. Returns whether its claim should be deleted from the store.
     pub fn record_failure(&mut self, key: u128, kind: Kind, now: Time) -> bool {
         let unknown = kind.answer().outcome == error::Outcome::Unknown;
         let Some(entry) = self.entries.get_mut(&key) else {
@@ -161,8 +168,8 @@
         if entry.state != State::Running {
             return false;
         }
-        entry.changed = now;
-        entry.state = if unknown { State::Done } else { State::Idle };
+        entry.changed_at = now;
+        entry.state = if unknown { State::Done } else { State::Unsent };
         let release = !unknown && !entry.session;
         if !unknown && entry.session {
             self.remove(key);
@@ -170,46 +177,49 @@
         release
     }
 
-    /// The claim of a key that never ran is gone from the store.
+    /// Records that the claim of a request that never ran was deleted from the store.
     pub fn record_release(&mut self, key: u128) {
-        let idle = self.entries.get(&key).is_some_and(|entry| entry.state == State::Idle);
-        if idle {
+        let unsent = self.entries.get(&key).is_some_and(|entry| entry.state == State::Unsent);
+        if unsent {
             self.remove(key);
         }
     }
 
-    /// What a peer that holds a claim of ours may be told; a key that never ran is given up for good.
+    /// Returns the status of `key` for a peer that read a claim of ours.
+    ///
+    /// If the request never ran, the key is yielded: the request never runs here under this claim.
     pub fn status(&mut self, key: u128, now: Time) -> Status<A> {
         let Some(entry) = self.entries.get_mut(&key) else {
             return Status::Unknown;
         };
         match entry.state {
             State::Claiming | State::Running => Status::Running,
-            State::Done => self.kept.get(key).map_or(Status::Unknown, Status::Ran),
-            State::Idle | State::GivenUp => {
-                entry.state = State::GivenUp;
-                entry.changed = now;
+            State::Done => self.answers.get(key).map_or(Status::Unknown, Status::Ran),
+            State::Unsent | State::Yielded => {
+                entry.state = State::Yielded;
+                entry.changed_at = now;
                 Status::NeverRun
             }
         }
     }
 
-    /// Keys remembered.
+    /// Returns the number of keys kept.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no key is kept.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    fn again(&mut self, key: u128) -> Admission<A> {
-        let given_up = self.entries.get(&key).is_some_and(|entry| entry.state == State::GivenUp);
-        match self.kept.get(key) {
+    /// Returns what to do with another send of a request that is done or yielded.
+    fn resend(&mut self, key: u128) -> Admission<A> {
+        let yielded = self.entries.get(&key).is_some_and(|entry| entry.state == State::Yielded);
+        match self.answers.get(key) {
             Some(answer) => Admission::Replay(answer),
-            None if given_up => {
-                // A peer took the key over; the store knows who.
+            None if yielded => {
+                // A peer may have taken the claim over; the store has the current claimant.
                 if let Some(entry) = self.entries.get_mut(&key) {
                     entry.state = State::Claiming;
                 }
@@ -219,41 +229,42 @@
         }
     }
 
-    fn set(&mut self, key: u128, state: State, now: Time) {
+    fn set_state(&mut self, key: u128, state: State, now: Time) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.state = state;
-            entry.changed = now;
+            entry.changed_at = now;
         }
     }
 
-    /// Whether one more key of a session can be remembered for its whole time.
-    fn room_for_session(&mut self, now: Time) -> bool {
-        if self.sessions < self.limits.max_session_keys {
+    /// Whether one more key of a session can be kept for the whole retention time; removes expired keys if necessary.
+    fn has_session_capacity(&mut self, now: Time) -> bool {
+        if self.session_keys < self.limits.max_session_keys {
             return true;
         }
-        self.forget_old(now);
-        self.sessions < self.limits.max_session_keys
+        self.remove_expired(now);
+        self.session_keys < self.limits.max_session_keys
     }
 
-    /// Forgets the oldest stored claims when there are too many; the store still knows them.
-    fn make_room(&mut self, now: Time) {
-        if self.entries.len() - self.sessions < MOST_STORED {
+    /// Evicts the oldest keys with stored claims if there are too many; the store still has these claims.
+    fn evict_oldest(&mut self, now: Time) {
+        if self.entries.len() - self.session_keys < MAX_STORED_KEYS {
             return;
         }
-        self.forget_old(now);
+        self.remove_expired(now);
         let stored = self.entries.iter().filter(|(_, entry)| !entry.session && entry.state == State::Done);
-        let mut oldest: Vec<(Time, u128)> = stored.map(|(key, entry)| (entry.changed, *key)).collect();
+        let mut oldest: Vec<(Time, u128)> = stored.map(|(key, entry)| (entry.changed_at, *key)).collect();
         oldest.sort_unstable();
-        for (_, key) in oldest.into_iter().take(MOST_STORED / 8) {
+        for (_, key) in oldest.into_iter().take(MAX_STORED_KEYS / 8) {
             self.remove(key);
         }
     }
 
-    fn forget_old(&mut self, now: Time) {
-        let kept = self.limits.retention;
-        let settled = |state| matches!(state, State::Done | State::Idle | State::GivenUp);
-        let old = |entry: &Entry| now.since(entry.changed) >= kept && settled(entry.state);
-        let keys: Vec<u128> = self.entries.iter().filter(|(_, entry)| old(entry)).map(|(key, _)| *key).collect();
+    /// Removes the settled keys whose retention time has passed.
+    fn remove_expired(&mut self, now: Time) {
+        let retention = self.limits.retention;
+        let settled = |state| matches!(state, State::Done | State::Unsent | State::Yielded);
+        let expired = |entry: &Entry| now.since(entry.changed_at) >= retention && settled(entry.state);
+        let keys: Vec<u128> = self.entries.iter().filter(|(_, entry)| expired(entry)).map(|(key, _)| *key).collect();
         for key in keys {
             self.remove(key);
         }
@@ -261,7 +272,7 @@
 
     fn remove(&mut self, key: u128) {
         if let Some(entry) = self.entries.remove(&key) {
-            self.sessions -= usize::from(entry.session);
+            self.session_keys -= usize::from(entry.session);
         }
     }
 }
--- a/crates/ledger/tests/once.rs
+++ b/crates/ledger/tests/once.rs
@@ -1,4 +1,4 @@
-//! At most once, under random interleavings of sends, deaths, lost answers and late writes.
+//! Requests run at most once under random interleavings of sends, crashes, lost answers and late writes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,17 +17,18 @@
 const KEYS: u128 = 2;
 const FINGERPRINT: u64 = 7;
 const LIMITS: Limits = Limits { retention: Duration::from_hours(24), max_session_keys: 8, max_answer_bytes: 1_000 };
-const NEVER: Time = Time::MAX;
+const NO_DEADLINE: Time = Time::MAX;
 
-/// How a claim is made; all but the first are wrong on purpose, to show that the check sees it.
+/// How a claim is acquired; all but the first are wrong on purpose, to show that the check detects them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Method {
-    Product,
-    /// A lost answer is taken for a success.
+    /// The method of this crate.
+    Real,
+    /// A lost answer counts as a success.
     AssumeWritten,
-    /// A claim of ours that stands in the store is taken without being written anew.
+    /// A stored claim of ours counts as acquired without another write.
     TrustOwnClaim,
-    /// The claimant's silence is taken for "never run".
+    /// A claimant that does not answer counts as one that never ran the request.
     AssumeNeverRun,
 }
 
@@ -37,7 +38,7 @@
     Down,
     LoseAnswer,
     LoseRequest,
-    /// The write takes effect later, after the client gave up on it.
+    /// The write takes effect after the client has given up on it.
     Late,
 }
 
@@ -45,10 +46,12 @@
 enum Stage {
     New,
     Calling(Acquisition, Call),
+    /// The request may be sent to a backend server; its claim has this revision.
     Ready(u64),
-    Over,
+    Ended,
 }
 
+/// One send of a request to a daemon.
 #[derive(Debug, Clone)]
 struct Send {
     node: usize,
@@ -67,7 +70,7 @@
     next_incarnation: u64,
 }
 
-/// One step of the schedule.
+/// One event of the schedule.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Send(usize, u128),
@@ -110,17 +113,17 @@
     fn step(&mut self, index: usize, fault: Fault, ending: u8) {
         let send = self.sends[index].clone();
         if self.nodes[send.node].0 != send.incarnation {
-            self.sends[index].stage = Stage::Over;
+            self.sends[index].stage = Stage::Ended;
             return;
         }
         self.sends[index].stage = match send.stage.clone() {
             Stage::New => self.begin(&send),
-            Stage::Calling(maker, call) => {
+            Stage::Calling(acquisition, call) => {
                 let reply = self.call(&send, &call, fault);
-                self.reply(&send, maker, reply)
+                self.reply(&send, acquisition, reply)
             }
             Stage::Ready(revision) => self.run(&send, revision, fault, ending),
-            Stage::Over => Stage::Over,
+            Stage::Ended => Stage::Ended,
         };
     }
 
@@ -129,12 +132,13 @@
         match ledger.begin(send.key, FINGERPRINT, false, Time::ZERO) {
             Admission::Claim => {
                 ledger.record_claim_sent(send.key);
-                let maker = Acquisition::new(send.incarnation, FINGERPRINT, ledger.is_unsent(send.key), NEVER);
-                let Action::Call(call) = maker.start::<u64>() else { unreachable!("the first step is a call") };
-                Stage::Calling(maker, call)
+                let acquisition =
+                    Acquisition::new(send.incarnation, FINGERPRINT, ledger.is_unsent(send.key), NO_DEADLINE);
+                let Action::Call(call) = acquisition.start::<u64>() else { unreachable!("the first action is a call") };
+                Stage::Calling(acquisition, call)
             }
-            Admission::Run => unreachable!("no session here"),
-            Admission::Replay(_) | Admission::Refuse(_) => Stage::Over,
+            Admission::Run => unreachable!("no key belongs to a session"),
+            Admission::Replay(_) | Admission::Refuse(_) => Stage::Ended,
         }
     }
 
@@ -151,15 +155,15 @@
                 Fault::None => {
                     let found = self.store.range(&name, None, Time::ZERO).pop();
                     Reply::Found(found.map(|entry| {
-                        let claim = Claim::parse(&entry.value).expect("claims are written whole");
+                        let claim = Claim::parse(&entry.value).expect("stored claims are valid");
                         (claim, entry.revision)
                     }))
                 }
                 _ => Reply::Unsent,
             },
             Call::Ask(claim, revision) => {
-                let word = self.ask(claim, send.key, fault);
-                Reply::Status(word, *revision)
+                let status = self.ask(claim, send.key, fault);
+                Reply::Status(status, *revision)
             }
         }
     }
@@ -168,7 +172,7 @@
         let claimant = self.nodes.iter_mut().find(|(incarnation, _)| *incarnation == claim.incarnation);
         match (claimant, fault) {
             (Some((_, ledger)), Fault::None | Fault::Late) => ledger.status(key, Time::ZERO),
-            // The question arrives and the answer is lost.
+            // The call arrives and its answer is lost.
             (Some((_, ledger)), Fault::LoseAnswer) => {
                 ledger.status(key, Time::ZERO);
                 Status::Unknown
@@ -197,28 +201,28 @@
         }
     }
 
-    fn reply(&mut self, send: &Send, maker: Acquisition, reply: Reply<u64>) -> Stage {
+    fn reply(&mut self, send: &Send, acquisition: Acquisition, reply: Reply<u64>) -> Stage {
         let own = |claim: &Claim| claim.incarnation == send.incarnation;
-        let progress = match (self.method, &reply) {
+        let action = match (self.method, &reply) {
             (Method::AssumeWritten, Reply::Lost) => Action::Finish(Outcome::Acquired(0)),
             (Method::TrustOwnClaim, Reply::Found(Some((claim, revision)))) if own(claim) => {
                 Action::Finish(Outcome::Acquired(*revision))
             }
-            _ => maker.handle(reply, Time::ZERO),
+            _ => acquisition.handle(reply, Time::ZERO),
         };
-        match progress {
-            Action::Call(call) => Stage::Calling(maker, call),
-            Action::Finish(held) => {
-                let revision = if let Outcome::Acquired(revision) = held { revision } else { 0 };
-                match self.nodes[send.node].1.finish_claim(send.key, held, Time::ZERO) {
+        match action {
+            Action::Call(call) => Stage::Calling(acquisition, call),
+            Action::Finish(outcome) => {
+                let revision = if let Outcome::Acquired(revision) = outcome { revision } else { 0 };
+                match self.nodes[send.node].1.finish_claim(send.key, outcome, Time::ZERO) {
                     Admission::Run => Stage::Ready(revision),
-                    Admission::Claim | Admission::Replay(_) | Admission::Refuse(_) => Stage::Over,
+                    Admission::Claim | Admission::Replay(_) | Admission::Refuse(_) => Stage::Ended,
                 }
             }
         }
     }
 
-    /// The backend server runs the request, loses it, or sheds it.
+    /// The backend server runs the request, loses the connection after running it, or sheds it.
     fn run(&mut self, send: &Send, revision: u64, fault: Fault, ending: u8) -> Stage {
         if ending % 3 == 2 {
             let release = self.nodes[send.node].1.record_failure(send.key, Kind::Shed, Time::ZERO);
@@ -227,7 +231,7 @@
             if matches!(deleted, Reply::Written(_)) {
                 self.nodes[send.node].1.record_release(send.key);
             }
-            return Stage::Over;
+            return Stage::Ended;
         }
         *self.runs.entry(send.key).or_default() += 1;
         let ledger = &mut self.nodes[send.node].1;
@@ -236,7 +240,7 @@
         } else {
             ledger.record_failure(send.key, Kind::BackendLost, Time::ZERO);
         }
-        Stage::Over
+        Stage::Ended
     }
 }
 
@@ -259,8 +263,8 @@
     ]
 }
 
-/// The schedule in which some key ran twice, if one of `cases` schedules did that.
-fn doubled(method: Method, cases: u32, seed: u64) -> Option<Vec<Event>> {
+/// Returns the first of `cases` schedules in which a key ran twice; `None` if there is none.
+fn find_double_run(method: Method, cases: u32, seed: u64) -> Option<Vec<Event>> {
     let rng = proptest::test_runner::TestRng::from_seed(
         proptest::test_runner::RngAlgorithm::ChaCha,
         &std::array::from_fn::<u8, 32, _>(|at| seed.to_le_bytes()[at % 8]),
@@ -277,34 +281,35 @@
     })
 }
 
+/// Number of schedules, from the environment if set there.
 fn cases() -> u32 {
-    let more = std::env::var("HEMLOCK_CASES").ok().and_then(|text| text.parse().ok());
-    more.unwrap_or(20_000)
+    let cases = std::env::var("HEMLOCK_CASES").ok().and_then(|text| text.parse().ok());
+    cases.unwrap_or(20_000)
 }
 
 #[test]
 fn no_key_runs_twice() {
-    let schedule = doubled(Method::Product, cases(), 1);
+    let schedule = find_double_run(Method::Real, cases(), 1);
     assert!(schedule.is_none(), "a key ran twice: {schedule:?}");
 }
 
-/// Each wrong method is caught by the same check, so the check can fail.
+/// The same check detects each wrong method, so it can fail.
 #[rstest::rstest]
-#[case::a_lost_answer_is_assumed(Method::AssumeWritten)]
+#[case::a_lost_answer_counts_as_success(Method::AssumeWritten)]
 #[case::an_own_claim_is_trusted(Method::TrustOwnClaim)]
-#[case::silence_is_taken_for_never_run(Method::AssumeNeverRun)]
-fn the_check_sees_wrong_methods(#[case] method: Method) {
-    assert!(doubled(method, 20_000, 1).is_some(), "{method:?} was not caught");
+#[case::silence_counts_as_never_run(Method::AssumeNeverRun)]
+fn the_check_detects_wrong_methods(#[case] method: Method) {
+    assert!(find_double_run(method, 20_000, 1).is_some(), "{method:?} was not detected");
 }
 
 #[test]
-fn a_shed_order_runs_at_another_entry() {
-    let mut world = World::new(Method::Product);
+fn a_shed_request_runs_at_another_daemon() {
+    let mut world = World::new(Method::Real);
     let shed_then_ok = [
         Event::Send(0, 0),
         Event::Step(0, Fault::None, 0),
         Event::Step(0, Fault::None, 0),
-        // Shed, and the deletion of the claim is lost on its way.
+        // The request is shed, and the deletion of the claim is lost before it reaches the store.
         Event::Step(0, Fault::LoseRequest, 2),
         Event::Send(1, 0),
         Event::Step(1, Fault::None, 0),
--- a/crates/ledger/tests/table.rs
+++ b/crates/ledger/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table of one daemon: what each state says to a re-send.
+//! The keys of one daemon: what each state means for a request that is sent again.
 
 use std::time::Duration;
 
@@ -23,21 +23,21 @@
 }
 
 #[rstest]
-#[case::won(Outcome::Acquired(3), Admission::Run)]
+#[case::acquired(Outcome::Acquired(3), Admission::Run)]
 #[case::ran_elsewhere(Outcome::Ran(7), Admission::Replay(7))]
 #[case::runs_elsewhere(Outcome::Running, Admission::Refuse(Kind::StillRunning))]
-#[case::claimant_gone(Outcome::Unknown, Admission::Refuse(Kind::AlreadyClaimed))]
+#[case::claimant_unknown(Outcome::Unknown, Admission::Refuse(Kind::AlreadyClaimed))]
 #[case::another_request(Outcome::KeyReused, Admission::Refuse(Kind::KeyReused))]
 #[case::store_down(Outcome::Unavailable, Admission::Refuse(Kind::ClaimUnavailable))]
-fn a_claim_comes_to(#[case] held: Outcome<u32>, #[case] step: Admission<u32>) {
+fn an_outcome_of_a_claim_decides_what_to_do(#[case] outcome: Outcome<u32>, #[case] admission: Admission<u32>) {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(KEY, FINGERPRINT, false, NOW);
     ledger.record_claim_sent(KEY);
-    assert_eq!(ledger.finish_claim(KEY, held, NOW), step);
+    assert_eq!(ledger.finish_claim(KEY, outcome, NOW), admission);
 }
 
 #[test]
-fn a_resend_while_running_waits() {
+fn a_resend_while_running_is_refused() {
     let mut ledger = running();
     assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Admission::Refuse(Kind::StillRunning));
     assert_eq!(ledger.status(KEY, NOW), Status::Running);
@@ -64,20 +64,20 @@
 #[case(Kind::AnswerTooLarge)]
 fn an_unknown_outcome_is_never_run_again(#[case] kind: Kind) {
     let mut ledger = running();
-    assert!(!ledger.record_failure(KEY, kind, NOW), "its claim must stay");
+    assert!(!ledger.record_failure(KEY, kind, NOW), "its claim must be kept");
     assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Admission::Refuse(Kind::AlreadyClaimed));
     assert_eq!(ledger.status(KEY, NOW), Status::Unknown);
 }
 
 #[test]
-fn an_order_that_never_ran_may_be_sent_again() {
+fn a_request_that_never_ran_may_be_sent_again() {
     let mut ledger = running();
-    assert!(ledger.record_failure(KEY, Kind::Shed, NOW), "its claim must go");
+    assert!(ledger.record_failure(KEY, Kind::Shed, NOW), "its claim must be deleted");
     assert_eq!(ledger.begin(KEY, FINGERPRINT, false, NOW), Admission::Claim);
 }
 
 #[test]
-fn a_session_needs_no_store_and_is_bounded() {
+fn session_keys_need_no_store_and_are_bounded() {
     let mut ledger = Ledger::<u32>::new(LIMITS);
     assert_eq!(ledger.begin(1, FINGERPRINT, true, NOW), Admission::Run);
     assert_eq!(ledger.begin(2, FINGERPRINT, true, NOW), Admission::Run);
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn kept_answers_stay_within_their_bound() {
-    let mut kept = Cache::new(100);
+fn cached_answers_stay_within_their_limit() {
+    let mut cache = Cache::new(100);
     for key in 0..50 {
-        kept.put(key, key, 30);
-        assert!(kept.bytes() <= 100);
+        cache.put(key, key, 30);
+        assert!(cache.bytes() <= 100);
     }
-    assert_eq!(kept.get(49), Some(49));
-    assert_eq!(kept.get(0), None);
+    assert_eq!(cache.get(49), Some(49));
+    assert_eq!(cache.get(0), None);
 }
