--- /dev/null
+++ b/crates/dispatch/src/engine/update.rs
@@ -0,0 +1,180 @@
+//! Updates of the engine's view: classes, servers, links, loads, announcements, losses.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use base::rate;
+use base::time::Time;
+
+use super::state::{Link, Timer};
+use super::{Budgets, Decision, Engine, Remote, pick};
+use crate::backend::{Backend, BackendId, Place, Report, Spec};
+use crate::class::{self, Class};
+
+impl Engine {
+    /// Sets the classes. Known classes keep their positions and statistics, new ones follow.
+    pub fn set_classes(&mut self, specs: Vec<class::Spec>) {
+        for (index, spec) in specs.into_iter().enumerate() {
+            match self.classes.get_mut(index) {
+                Some(class) => class.update_spec(spec),
+                None => self.classes.push(Class::new(spec)),
+            }
+        }
+        self.priority_order = (0..self.classes.len()).collect();
+        self.priority_order.sort_by_key(|index| (self.classes[*index].spec.rank, *index));
+    }
+
+    /// Sets the backend servers in use. Known servers keep their observed state; removed ones stay, as leaving, while
+    /// attempts run there.
+    pub fn set_backends(&mut self, specs: Vec<Spec>, now: Time) {
+        let mut kept = BTreeMap::new();
+        for spec in specs {
+            let known = self.backends.remove(&spec.id);
+            let mut backend = match known {
+                Some(mut backend) => {
+                    backend.update_spec(spec, now);
+                    backend
+                }
+                None => Backend::new(spec, now),
+            };
+            backend.apply_announcement(self.announcements.get(backend.spec.id), now);
+            kept.insert(backend.spec.id, backend);
+        }
+        for (id, mut removed) in std::mem::take(&mut self.backends) {
+            if removed.in_flight > 0 {
+                removed.spec.leaving = true;
+                kept.insert(id, removed);
+            }
+        }
+        self.warmth.retain(|id| kept.contains_key(&id));
+        self.backends = kept;
+        self.rebuild_tiers();
+        self.dispatch_waiting(now);
+    }
+
+    /// Sets this daemon's share of another region and of the link to it.
+    pub fn set_remote(&mut self, region: u16, remote: Remote, now: Time) {
+        let burst = (remote.bytes_per_second * pick::LINK_BURST.as_secs_f64()).max(0.0);
+        let link = self.links.entry(region).or_insert_with(|| Link {
+            max_in_flight: 0,
+            in_flight: 0,
+            uncapped: remote.is_uncapped(),
+            unsized_in_flight: 0,
+            bucket: rate::Bucket::new(remote.bytes_per_second, burst, now),
+        });
+        link.max_in_flight = remote.max_in_flight;
+        link.uncapped = remote.is_uncapped();
+        link.bucket.set_rate(remote.bytes_per_second, burst, now);
+    }
+
+    /// Sets the budgets for hedges and retries.
+    pub fn set_budgets(&mut self, budgets: Budgets) {
+        self.limits.budgets = budgets;
+        self.hedges.set(budgets.hedge_ratio, budgets.hedge_burst);
+        self.retries.set(budgets.retry_ratio, budgets.retry_burst);
+        for repeats in self.repeats.values_mut() {
+            repeats.set(budgets.repeat_ratio, budgets.repeat_burst);
+        }
+    }
+
+    /// Records a load report that arrived with an answer, without dispatching waiting requests; the end of the attempt
+    /// does that.
+    pub fn record_report(&mut self, backend: BackendId, report: Report) {
+        if let Some(backend) = self.backends.get_mut(&backend) {
+            backend.record_report(report);
+        }
+    }
+
+    /// Records a load report of a backend server and dispatches waiting requests.
+    pub fn apply_report(&mut self, backend: BackendId, report: Report, now: Time) {
+        if let Some(backend) = self.backends.get_mut(&backend) {
+            backend.record_report(report);
+        }
+        self.dispatch_waiting(now);
+    }
+
+    /// Records that a backend server announced, here or to a peer, that it is leaving. Requests that wait for it are
+    /// sent elsewhere. Returns whether this is new.
+    pub fn record_leaving(&mut self, backend: BackendId, until: Time, now: Time) -> bool {
+        if !self.announcements.record_leaving(backend, until, now) {
+            return false;
+        }
+        let Some(server) = self.backends.get_mut(&backend) else {
+            return true;
+        };
+        let is_new = !server.leaving();
+        server.apply_announcement(self.announcements.get(backend), now);
+        if is_new {
+            self.decisions.push(Decision::Leaving { backend });
+            self.rebuild_tiers();
+            self.dispatch_waiting(now);
+        }
+        is_new
+    }
+
+    /// Records that a backend server, when it turned a request away, asked for a pause of this length.
+    pub fn record_pause(&mut self, backend: BackendId, pause: Duration, now: Time) {
+        self.announcements.record_pause(backend, pause, now);
+        if let Some(server) = self.backends.get_mut(&backend) {
+            server.apply_announcement(self.announcements.get(backend), now);
+            self.last_pause_end = self.last_pause_end.max(server.paused_until());
+            self.decisions.push(Decision::Paused { backend, until: server.paused_until() });
+        }
+    }
+
+    /// Returns the backend servers that announced that they are leaving.
+    pub fn leaving_backends(&self, now: Time) -> impl Iterator<Item = BackendId> {
+        self.announcements.leaving(now)
+    }
+
+    /// Suspends dispatch after the process stood still for `stall`, as the state of servers may be out of date:
+    /// nothing is sent until `until` or `resume`. The time of the stall is not held against servers.
+    pub fn suspend(&mut self, stall: Duration, until: Time) {
+        self.suspended_until = self.suspended_until.max(until);
+        for (number, attempt) in &mut self.attempts {
+            attempt.started = attempt.started + stall;
+            if self.timers.remove(&(attempt.late_at, Timer::Late(*number))) {
+                attempt.late_at = attempt.late_at + stall;
+                self.timers.insert((attempt.late_at, Timer::Late(*number)));
+            }
+        }
+    }
+
+    /// Resumes dispatch once the state of servers is confirmed, and sends waiting requests.
+    pub fn resume(&mut self, now: Time) {
+        self.suspended_until = Time::ZERO;
+        self.dispatch_waiting(now);
+    }
+
+    /// Returns whether a request may still be sent to `backend`: the state may have changed since the choice was made.
+    pub fn may_send(&self, backend: BackendId, now: Time) -> bool {
+        let confirmed = now >= self.suspended_until;
+        confirmed && self.backends.get(&backend).is_some_and(|server| !server.leaving() && !server.paused(now))
+    }
+
+    /// Records losses that peers observed; returns those that were new, to be passed on.
+    pub fn merge_losses(&mut self, losses: &[(u64, u64)], now: Time) -> Vec<(u64, u64)> {
+        losses.iter().filter(|(fingerprint, loss)| self.apply_loss(*fingerprint, *loss, now)).copied().collect()
+    }
+
+    /// Returns the losses for which requests with `fingerprint` are refused; empty if they are not.
+    pub fn quarantine_losses(&self, fingerprint: u64, now: Time) -> Vec<(u64, u64)> {
+        self.quarantine.losses(fingerprint, now)
+    }
+
+    /// Takes the losses observed here since the last call, for peers.
+    pub fn take_losses(&mut self) -> Vec<(u64, u64)> {
+        std::mem::take(&mut self.losses)
+    }
+
+    fn rebuild_tiers(&mut self) {
+        let services =
+            self.backends.values().map(|backend| backend.spec.service).max().map_or(0, |highest| highest + 1);
+        self.tiers = vec![[Vec::new(), Vec::new()]; usize::from(services)];
+        for (id, backend) in &self.backends {
+            let tier = usize::from(matches!(backend.spec.place, Place::Remote(_)));
+            self.tiers[usize::from(backend.spec.service)][tier].push(*id);
+        }
+        self.near_shares = (0..self.tiers.len()).map(|service| self.near_share(service)).collect();
+    }
+}
