--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: how fast each class of work uses up its error budget.
+//! Service-level objectives: the rate at which each class of work burns its error budget.
 
 pub mod page;
 pub mod report;
--- a/crates/burn/src/page.rs
+++ b/crates/burn/src/page.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML page with plots, without anything from elsewhere.
+//! Rendering of a report as a self-contained HTML page with plots.
 
 use std::fmt::Write as _;
 
@@ -13,7 +13,7 @@
 td,th{padding:.3em .8em;border-bottom:1px solid #ddd;text-align:right}td:first-child,th:first-child{text-align:left}\
 .alert{color:#b00020;font-weight:bold}svg{background:#f7f7f7}";
 
-/// The page of `report`.
+/// Returns the HTML page of `report`.
 pub fn render(report: &Report) -> String {
     let mut page = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>hemlockcross: service-level burn</title>\
@@ -44,31 +44,31 @@
     )
 }
 
-/// Bad answers by minute over the last hour, as bars; the line marks the budget.
+/// Returns a bar chart of the fraction of bad answers by minute over the last hour; the dashed line marks the budget.
 fn plot(line: &Line) -> String {
     let minutes = line.minutes.len().max(1) as f64;
     let budget = 1.0 - line.target_share;
     let worst = line.minutes.iter().map(|count| count.bad_ratio()).fold(budget * 2.0, f64::max);
-    let bar = WIDTH / minutes;
+    let bar_width = WIDTH / minutes;
     let mut bars = String::new();
     for (age, count) in line.minutes.iter().enumerate() {
         let height = HEIGHT * count.bad_ratio() / worst;
-        let left = WIDTH - bar * (age as f64 + 1.0);
+        let left = WIDTH - bar_width * (age as f64 + 1.0);
         let top = HEIGHT - height;
         let written = write!(
             bars,
             "<rect x=\"{left:.1}\" y=\"{top:.1}\" width=\"{:.1}\" height=\"{height:.1}\" fill=\"#b00020\"/>",
-            bar * 0.8
+            bar_width * 0.8
         );
         debug_assert!(written.is_ok(), "writing to text does not fail");
     }
-    let mark = HEIGHT - HEIGHT * budget / worst;
+    let budget_top = HEIGHT - HEIGHT * budget / worst;
     let (class, region) = (escape(&line.class), escape(&line.region));
     format!(
         "<h2>{class}, {region}</h2><svg width=\"{WIDTH}\" height=\"{HEIGHT}\" role=\"img\" \
-aria-label=\"part of bad answers by minute\">{bars}<line x1=\"0\" x2=\"{WIDTH}\" y1=\"{mark:.1}\" y2=\"{mark:.1}\" \
-stroke=\"#333\" stroke-dasharray=\"4\"/></svg><p>Part of bad answers by minute, last hour; highest mark \
-{:.3}%.</p>",
+aria-label=\"part of bad answers by minute\">{bars}<line x1=\"0\" x2=\"{WIDTH}\" \
+y1=\"{budget_top:.1}\" y2=\"{budget_top:.1}\" stroke=\"#333\" stroke-dasharray=\"4\"/></svg>\
+<p>Part of bad answers by minute, last hour; highest mark {:.3}%.</p>",
         worst * 100.0
     )
 }
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -1,4 +1,4 @@
-//! The report: burn rates over several windows, alerts, and the merge of many daemons' counts.
+//! Reports of burn rates over several windows, their alerts, and the merging of reports of many daemons.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,10 +8,10 @@
 
 use crate::series::{Count, Series};
 
-/// Windows of the report, in seconds: 5 minutes, 30 minutes, 1 hour, 6 hours, 3 days.
+/// Windows of a report, in seconds: 5 minutes, 30 minutes, 1 hour, 6 hours, 3 days.
 pub const WINDOWS_S: [u64; 5] = [300, 1_800, 3_600, 21_600, 259_200];
 
-/// An alert fires when both windows burn faster than the threshold.
+/// An alert rule: it fires when the burn rates of both windows are above the threshold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rule {
     /// Name of the alert.
@@ -20,11 +20,11 @@
     pub long_s: u64,
     /// Short window, in seconds.
     pub short_s: u64,
-    /// Burn rate: 1 uses up the budget exactly over its period.
+    /// Threshold of the burn rate; a rate of 1 uses up the budget exactly over its period.
     pub rate: f64,
 }
 
-/// Multi-window, multi-burn-rate alerts for a budget of thirty days.
+/// Multi-window, multi-burn-rate alerts for an error budget of thirty days.
 pub const RULES: [Rule; 3] = [
     Rule { name: "page-fast", long_s: 3_600, short_s: 300, rate: 14.4 },
     Rule { name: "page-slow", long_s: 21_600, short_s: 1_800, rate: 6.0 },
@@ -38,7 +38,7 @@
     pub class: String,
     /// The region of the entry instances that answered.
     pub region: String,
-    /// Share of answers that must be good.
+    /// Fraction of answers that must be good.
     pub target_share: f64,
     /// Counts for each of [`WINDOWS_S`].
     pub windows: Vec<Count>,
@@ -47,21 +47,21 @@
 }
 
 impl Line {
-    /// The line of one daemon's series.
+    /// Creates the line of one daemon's series at `now`.
     pub fn new(class: &str, region: &str, target_share: f64, series: &mut Series, now: Time) -> Self {
         let windows = WINDOWS_S.iter().map(|seconds| series.window(*seconds, now)).collect();
         let minutes = series.minutes(now);
         Self { class: class.to_owned(), region: region.to_owned(), target_share, windows, minutes }
     }
 
-    /// Burn rate over a window; 1 uses up the budget exactly over its period.
+    /// Returns the burn rate over a window of [`WINDOWS_S`]; a rate of 1 uses up the budget exactly over its period.
     pub fn burn_rate(&self, seconds: u64) -> f64 {
         let index = WINDOWS_S.iter().position(|window| *window == seconds);
         let count = index.and_then(|index| self.windows.get(index)).copied().unwrap_or_default();
         count.bad_ratio() / (1.0 - self.target_share).max(f64::EPSILON)
     }
 
-    /// Names of the alerts that fire.
+    /// Returns the names of the alerts that fire.
     pub fn alerts(&self) -> Vec<&'static str> {
         let fires = |rule: &&Rule| self.burn_rate(rule.long_s) > rule.rate && self.burn_rate(rule.short_s) > rule.rate;
         RULES.iter().filter(fires).map(|rule| rule.name).collect()
@@ -77,15 +77,15 @@
     }
 }
 
-/// Lines of all classes and regions.
+/// A report of all classes and regions.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// The lines, by class and region.
+    /// One line for each class and region, sorted by both.
     pub lines: Vec<Line>,
 }
 
 impl Report {
-    /// Merges the reports of many daemons.
+    /// Merges the reports of many daemons by adding their counts.
     pub fn merge<'a>(reports: impl IntoIterator<Item = &'a Self>) -> Self {
         let mut merged: BTreeMap<(String, String), Line> = BTreeMap::new();
         for line in reports.into_iter().flat_map(|report| &report.lines) {
@@ -98,7 +98,7 @@
         Self { lines: merged.into_values().collect() }
     }
 
-    /// The report as a table.
+    /// Returns the report as a plain-text table.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "{:<12} {:<22} {:>8} {:>10} {:>7} {:>7} {:>7} {:>7} {:>7}  {}\n",
--- a/crates/burn/src/series.rs
+++ b/crates/burn/src/series.rs
@@ -1,18 +1,18 @@
-//! Good and bad answers of one class over time, in fixed memory.
+//! Counts of good and bad answers of one class over time, in a fixed amount of memory.
 
 use base::time::Time;
 use serde::{Deserialize, Serialize};
 
 /// Length of a fine bucket, in seconds.
 pub const FINE_S: u64 = 60;
-/// Fine buckets kept: six hours.
+/// Number of fine buckets; together six hours.
 pub const FINE_BUCKETS: usize = 360;
 /// Length of a coarse bucket, in seconds.
 pub const COARSE_S: u64 = 1_800;
-/// Coarse buckets kept: three days.
+/// Number of coarse buckets; together three days.
 pub const COARSE_BUCKETS: usize = 144;
 
-/// Answers counted.
+/// Counts of answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Count {
     /// Answers within the target.
@@ -28,7 +28,7 @@
         self.total += other.total;
     }
 
-    /// Part of the answers that were bad; zero without answers.
+    /// Returns the fraction of answers that were bad, from zero to one; zero without answers.
     pub fn bad_ratio(self) -> f64 {
         if self.total == 0 {
             return 0.0;
@@ -37,10 +37,13 @@
     }
 }
 
+/// A ring buffer of counts.
 #[derive(Debug, Clone)]
 struct Ring {
+    /// Length of a bucket, in seconds.
     seconds: u64,
     counts: Vec<Count>,
+    /// Number of the newest bucket since the start of the clock.
     newest: u64,
 }
 
@@ -49,7 +52,7 @@
         Self { seconds, counts: vec![Count::default(); length], newest: 0 }
     }
 
-    /// Empties the buckets that time has passed over.
+    /// Clears the buckets that began since the last call; returns the index of the current one.
     fn advance(&mut self, now: Time) -> usize {
         let bucket = now.as_millis() / 1_000 / self.seconds;
         let length = self.counts.len() as u64;
@@ -66,7 +69,7 @@
         self.counts[index].add(Count { good: u64::from(good), total: 1 });
     }
 
-    /// The newest `buckets` buckets, newest first.
+    /// Returns the newest `buckets` buckets, newest first.
     fn last(&mut self, buckets: usize, now: Time) -> Vec<Count> {
         let index = self.advance(now);
         let length = self.counts.len();
@@ -74,7 +77,7 @@
     }
 }
 
-/// Answers of one class.
+/// Counts of the answers of one class over time.
 #[derive(Debug, Clone)]
 pub struct Series {
     fine: Ring,
@@ -88,18 +91,18 @@
 }
 
 impl Series {
-    /// No answers yet.
+    /// Creates a series without answers.
     pub fn new() -> Self {
         Self { fine: Ring::new(FINE_S, FINE_BUCKETS), coarse: Ring::new(COARSE_S, COARSE_BUCKETS) }
     }
 
-    /// Counts one answer.
+    /// Records one answer.
     pub fn record(&mut self, good: bool, now: Time) {
         self.fine.record(good, now);
         self.coarse.record(good, now);
     }
 
-    /// Answers of the last `seconds` seconds, to the nearest bucket.
+    /// Returns the counts of the last `seconds` seconds, rounded up to whole buckets.
     pub fn window(&mut self, seconds: u64, now: Time) -> Count {
         let fine = seconds <= FINE_S * FINE_BUCKETS as u64;
         let (ring, length) = if fine { (&mut self.fine, FINE_S) } else { (&mut self.coarse, COARSE_S) };
@@ -111,7 +114,7 @@
         sum
     }
 
-    /// Answers of the last hour by minute, newest first.
+    /// Returns the counts of the last hour by minute, newest first.
     pub fn minutes(&mut self, now: Time) -> Vec<Count> {
         self.fine.last(60, now)
     }
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Burn rates, alerts, merging and the page.
+//! Burn rates, alerts, merging of reports and the HTML page.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const START: Time = Time::from_millis(1_000_000_000);
 
-/// A series that got one answer a second for `seconds`, of which one in `bad` was bad.
+/// Returns a series with one answer per second for `seconds`, of which one in `bad` was bad, and the time of the last.
 fn series(seconds: u64, bad: u64) -> (Series, Time) {
     let mut series = Series::new();
     let mut now = START;
@@ -31,21 +31,21 @@
 #[case::creeping(259_200, 800, &["ticket"])]
 fn alerts_fire_by_their_windows(#[case] seconds: u64, #[case] bad: u64, #[case] alerts: &[&str]) {
     let (mut series, now) = series(seconds, bad);
-    // The first answer counts as bad in every series; it is long past in the short windows.
+    // The first answer is bad in every series; it lies outside the short windows.
     let fired = line(&mut series, now).alerts();
     assert_eq!(fired, alerts);
     assert!(fired.len() <= RULES.len());
 }
 
 #[test]
-fn what_is_over_is_forgotten_by_the_short_window() {
+fn the_short_window_stops_an_alert_once_the_fault_is_over() {
     let (mut series, now) = series(3_600, 10);
     let later = now + Duration::from_mins(10);
     assert!(!line(&mut series, later).alerts().contains(&"page-fast"));
 }
 
 #[test]
-fn daemons_add_up() {
+fn merging_adds_the_counts_of_daemons() {
     let (mut one, now) = series(600, 10);
     let (mut other, _) = series(300, 10);
     let (one, other) = (line(&mut one, now), line(&mut other, now));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_page_stands_alone_and_escapes_names() {
+fn the_page_is_self_contained_and_escapes_names() {
     let (mut series, now) = series(600, 10);
     let line = Line::new("<b>", "r&d", 0.999, &mut series, now);
     let page = page::render(&Report { lines: vec![line] });
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,7 +1,7 @@
-//! Life cycle of a daemon made of plug-ins that register themselves.
+//! Life cycle of a daemon that consists of plug-ins.
 //!
-//! The kernel knows no plug-in by name. A daemon collects its plug-ins at link time, and the kernel starts them
-//! by stage and stops them in reverse, in three steps: withdraw, drain, close.
+//! The kernel does not depend on any plug-in. A daemon collects its registered plug-ins at link time; the kernel starts
+//! them in the order of their stages and stops them in reverse order, in three steps: withdraw, drain, close.
 
 use std::sync::Arc;
 
@@ -18,41 +18,42 @@
 /// The result of starting a plug-in.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A running plug-in.
+/// The running component of a plug-in.
 pub trait Component: Send {
-    /// Tells others that this daemon stops; work goes on.
+    /// Announces to others that this daemon stops; work continues.
     fn withdraw(&mut self) {}
 
-    /// Takes no new work; says whether all work is done. Called until it is.
+    /// Stops accepting work and returns whether all work is done. Called repeatedly until it is, or until the time for
+    /// draining has passed.
     fn drain(&mut self) -> bool {
         true
     }
 
-    /// Ends for good.
+    /// Stops the component.
     fn close(&mut self) {}
 }
 
-/// A plug-in that has nothing to do here.
+/// The component of a plug-in that the settings do not need.
 #[derive(Debug, Clone, Copy)]
 pub struct Idle;
 
 impl Component for Idle {}
 
-/// What starting a plug-in gives: the running part, or what went wrong and what to change.
+/// The result of a plug-in's start function: the running component, or what went wrong and what to change.
 pub type StartResult = std::result::Result<Box<dyn Component>, String>;
 
 /// A plug-in over the context `C`.
 #[derive(Debug)]
 pub struct Plugin<C> {
-    /// Short name, also the prefix of its logs.
+    /// Short name, also the prefix of its log lines.
     pub name: &'static str,
     /// Lower stages start first and close last.
     pub stage: u8,
-    /// Starts it.
+    /// Starts the plug-in.
     pub start: fn(&Arc<C>) -> StartResult,
 }
 
-/// Running plug-ins.
+/// The running components of a daemon.
 pub struct Kernel {
     components: Vec<(&'static str, Box<dyn Component>)>,
 }
@@ -65,7 +66,7 @@
 }
 
 impl Kernel {
-    /// Starts `plugins` by stage and name; if one fails, those started are closed again.
+    /// Starts `plugins` in the order of stage and name; if one fails, closes those already started.
     pub fn start<'a, C: 'static>(plugins: impl IntoIterator<Item = &'a Plugin<C>>, context: &Arc<C>) -> Result<Self> {
         let mut ordered: Vec<&Plugin<C>> = plugins.into_iter().collect();
         ordered.sort_by_key(|plugin| (plugin.stage, plugin.name));
@@ -73,7 +74,7 @@
         for plugin in ordered {
             log::debug!("kernel: starting part={}", plugin.name);
             match (plugin.start)(context) {
-                Ok(part) => kernel.components.push((plugin.name, part)),
+                Ok(component) => kernel.components.push((plugin.name, component)),
                 Err(reason) => {
                     kernel.close();
                     return Err(Error { plugin: plugin.name, reason });
@@ -83,24 +84,25 @@
         Ok(kernel)
     }
 
-    /// Tells all parts to withdraw, last started first.
+    /// Withdraws all components, last started first.
     pub fn withdraw(&mut self) {
-        for (name, part) in self.components.iter_mut().rev() {
+        for (name, component) in self.components.iter_mut().rev() {
             log::debug!("kernel: withdrawing part={name}");
-            part.withdraw();
+            component.withdraw();
         }
     }
 
-    /// Has all parts take no new work, last started first; says whether all work is done. Called until it is.
+    /// Drains the components, last started first, each once those started after it are; returns whether all work is
+    /// done. Called repeatedly until it is.
     pub fn drain(&mut self) -> bool {
-        self.components.iter_mut().rev().all(|(_, part)| part.drain())
+        self.components.iter_mut().rev().all(|(_, component)| component.drain())
     }
 
-    /// Closes all parts, last started first.
+    /// Closes all components, last started first.
     pub fn close(&mut self) {
-        while let Some((name, mut part)) = self.components.pop() {
+        while let Some((name, mut component)) = self.components.pop() {
             log::debug!("kernel: closing part={name}");
-            part.close();
+            component.close();
         }
     }
 }
