--- a/crates/h1/src/body.rs
+++ b/crates/h1/src/body.rs
@@ -1,4 +1,4 @@
-//! Where a body ends.
+//! Framing of bodies.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 use http::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
@@ -6,24 +6,24 @@
 
 use crate::error::{Error, Result};
 
-/// Longest line between chunks, in bytes.
+/// Maximum length of a line between chunks, in bytes.
 const MAX_LINE_BYTES: usize = 4_096;
-/// Lines behind the last chunk at most.
+/// Maximum number of trailer lines after the last chunk.
 const MAX_TRAILERS: u32 = 100;
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// In chunks.
+    /// The body is sent in chunks.
     Chunked,
-    /// Until the connection ends.
+    /// The body ends when the connection does.
     UntilClose,
 }
 
 impl Framing {
-    /// The framing of a request's body; one that can be read in two ways is an error.
+    /// Returns the framing of a request's body; an ambiguous one is an error.
     pub fn of_request(headers: &HeaderMap) -> Result<Self> {
         match (length(headers)?, chunked(headers)?) {
             (Some(_), true) => Err(Error::Ambiguous),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The framing of the body of an answer to a request with `method`.
+    /// Returns the framing of the body of an answer to a request with `method`; an ambiguous one is an error.
     pub fn of_response(method: &Method, status: StatusCode, headers: &HeaderMap) -> Result<Self> {
         let bodiless = *method == Method::HEAD || status.is_informational();
         if bodiless || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) {
@@ -49,26 +49,28 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
+    /// Within a body of known length, with the bytes left.
     Data(u64),
-    /// Before the line that names a chunk's size.
+    /// Before the line with a chunk's size.
     Size,
+    /// Within a chunk, with the bytes left.
     Chunk(u64),
-    /// Before the line break behind a chunk.
+    /// Before the line break after a chunk.
     Break,
-    /// Before a line behind the last chunk, with the lines before it.
+    /// Before a trailer line, with the number of trailer lines before it.
     Trailer(u32),
     UntilClose,
     End,
 }
 
-/// Takes a body off a buffer, part by part.
+/// Decodes a body incrementally from a buffer.
 #[derive(Debug, Clone)]
 pub struct Decoder {
     state: State,
 }
 
 impl Decoder {
-    /// A decoder at the start of a body.
+    /// Creates a decoder at the start of a body.
     pub const fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(0) => State::End,
@@ -79,17 +81,18 @@
         Self { state }
     }
 
-    /// Whether the whole body was taken.
+    /// Returns whether the whole body was decoded.
     pub fn is_complete(&self) -> bool {
         self.state == State::End
     }
 
-    /// Whether only the end of the connection ends the body.
+    /// Returns whether the body ends only with the connection.
     pub fn until_close(&self) -> bool {
         self.state == State::UntilClose
     }
 
-    /// Takes the next part of the body off `buffer`; `None` if more bytes are needed or the body has ended.
+    /// Removes the next part of the body from `buffer` and returns it; `None` if more bytes are needed or the body has
+    /// ended.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>> {
         loop {
             match self.state {
@@ -100,7 +103,7 @@
                     }
                     let part = left.min(buffer.len() as u64);
                     let data = buffer.split_to(part as usize).freeze();
-                    self.state = self.after(left - part);
+                    self.state = self.state_with_left(left - part);
                     return Ok(Some(data));
                 }
                 State::UntilClose if buffer.is_empty() => return Ok(None),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// The connection ended in order; says whether that ends the body whole.
+    /// Handles the orderly end of the connection; returns [`Error::Cut`] if the body is incomplete.
     pub fn close(&mut self) -> Result<()> {
         match self.state {
             State::End => Ok(()),
@@ -137,7 +140,8 @@
         }
     }
 
-    const fn after(&self, left: u64) -> State {
+    /// Returns the state within or after the current data with `left` bytes left.
+    const fn state_with_left(&self, left: u64) -> State {
         match (self.state, left) {
             (State::Data(_), 0) => State::End,
             (State::Data(_), left) => State::Data(left),
@@ -158,7 +162,7 @@
     }
 }
 
-/// Takes a line off `buffer`, without its end; `None` if it is not whole yet.
+/// Removes a line from `buffer` and returns it without its line break; `None` if it is not complete yet.
 fn line(buffer: &mut BytesMut) -> Result<Option<BytesMut>> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         return if buffer.len() < MAX_LINE_BYTES { Ok(None) } else { Err(Error::Malformed) };
@@ -171,7 +175,7 @@
     Ok(Some(line))
 }
 
-/// The declared length; several that differ, or no number, are an error.
+/// Returns the declared length; `None` if there is none. More than one, or one that is not a number, is an error.
 fn length(headers: &HeaderMap) -> Result<Option<u64>> {
     let mut found = None;
     for value in headers.get_all(CONTENT_LENGTH) {
@@ -184,10 +188,10 @@
     Ok(found)
 }
 
-/// Whether the body comes in chunks; any other encoding of the transfer is an error.
+/// Returns whether the body is chunked; any other transfer encoding is an error.
 fn chunked(headers: &HeaderMap) -> Result<bool> {
     let mut values = headers.get_all(TRANSFER_ENCODING).iter();
     let Some(value) = values.next() else { return Ok(false) };
-    let plain = value.to_str().is_ok_and(|text| text.trim().eq_ignore_ascii_case("chunked"));
-    if plain && values.next().is_none() { Ok(true) } else { Err(Error::Ambiguous) }
+    let is_chunked = value.to_str().is_ok_and(|text| text.trim().eq_ignore_ascii_case("chunked"));
+    if is_chunked && values.next().is_none() { Ok(true) } else { Err(Error::Ambiguous) }
 }
--- a/crates/h1/src/budget.rs
+++ b/crates/h1/src/budget.rs
@@ -1,48 +1,48 @@
-//! Memory for answers that are being read, over all connections.
+//! Memory budget for answers that are being read on all connections.
 //!
-//! Load pattern: many servers send bytes without end, at once. Each of them alone keeps below the largest answer that
-//! is allowed, all of them together would not. While budget is short, those that hold more than an even part of it get no
-//! more, so that answers of a usual size still come through.
+//! Load pattern: many servers send bytes without end at the same time. Each answer stays below the maximum size, but all
+//! of them together do not fit into memory. While memory is short, answers that hold more than an equal share of the
+//! budget get no more, so that answers of a usual size still complete.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Budget for answers, shared by connections.
+/// A memory budget for answers, shared by connections.
 #[derive(Debug)]
 pub struct Budget {
     /// Bytes for all answers together.
     bytes: usize,
-    used: Mutex<Used>,
+    usage: Mutex<Usage>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Used {
+struct Usage {
     bytes: usize,
-    holders: usize,
+    reservations: usize,
 }
 
 impl Budget {
-    /// Budget for `bytes`.
+    /// Creates a budget of `bytes`.
     pub const fn new(bytes: usize) -> Self {
-        Self { bytes, used: Mutex::new(Used { bytes: 0, holders: 0 }) }
+        Self { bytes, usage: Mutex::new(Usage { bytes: 0, reservations: 0 }) }
     }
 
-    /// Bytes held now.
+    /// Returns the bytes reserved now.
     pub fn reserved(&self) -> usize {
-        self.used().bytes
+        self.usage().bytes
     }
 
-    /// A part of the budget for one answer, empty at first.
+    /// Creates a reservation for one answer, of zero bytes at first.
     pub fn reserve(&self) -> Reservation<'_> {
-        self.used().holders += 1;
+        self.usage().reservations += 1;
         Reservation { budget: self, bytes: 0 }
     }
 
-    fn used(&self) -> MutexGuard<'_, Used> {
-        self.used.lock().unwrap_or_else(PoisonError::into_inner)
+    fn usage(&self) -> MutexGuard<'_, Usage> {
+        self.usage.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What one answer holds of the budget; it is given back when dropped.
+/// The bytes that one answer holds of the budget; they are released when it is dropped.
 #[derive(Debug)]
 pub struct Reservation<'a> {
     budget: &'a Budget,
@@ -50,15 +50,16 @@
 }
 
 impl Reservation<'_> {
-    /// Takes `bytes` more; says whether they may be held.
+    /// Reserves `bytes` more; returns whether it did. Within an equal share of the budget this succeeds even if the
+    /// budget is used up.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let mut used = self.budget.used();
-        let short = used.bytes + bytes > self.budget.bytes;
-        let even = self.budget.bytes / used.holders.max(1);
-        if short && self.bytes + bytes > even {
+        let mut usage = self.budget.usage();
+        let over_budget = usage.bytes + bytes > self.budget.bytes;
+        let equal_share = self.budget.bytes / usage.reservations.max(1);
+        if over_budget && self.bytes + bytes > equal_share {
             return false;
         }
-        used.bytes += bytes;
+        usage.bytes += bytes;
         self.bytes += bytes;
         true
     }
@@ -66,8 +67,8 @@
 
 impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        let mut used = self.budget.used();
-        used.bytes -= self.bytes;
-        used.holders -= 1;
+        let mut usage = self.budget.usage();
+        usage.bytes -= self.bytes;
+        usage.reservations -= 1;
     }
 }
--- a/crates/h1/src/client.rs
+++ b/crates/h1/src/client.rs
@@ -1,4 +1,4 @@
-//! One connection towards a server: one request at a time, whole answers.
+//! A client connection to a server, which sends one request at a time and reads complete answers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,37 +15,37 @@
 use crate::error::Error;
 use crate::{encode, head};
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of the head of an answer, in bytes.
 const MAX_HEAD_BYTES: usize = 65_536;
-/// Interim answers, and answers to earlier requests, that are passed over for one request.
-const MAX_PASSED_OVER: usize = 16;
-/// Room made for each read, in bytes.
+/// Maximum number of interim answers and answers to earlier requests that are skipped for one request.
+const MAX_SKIPPED: usize = 16;
+/// Spare buffer capacity for each read, in bytes.
 const READ_BYTES: usize = 4_096;
-/// Time without traffic after which an open connection is probed; the system counts in whole seconds.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection is given up.
-const PROBES: u32 = 2;
+/// Idle time before, and interval between, TCP keep-alive probes; the system counts in whole seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keep-alive probes after which the connection is closed.
+const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Why there is no whole answer.
+/// Why there is no complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The connection ended before a byte of the request was written.
-    #[error("no byte was sent")]
+    /// The connection ended before any byte of the request was written.
+    #[error("the connection ended before any byte of the request was sent")]
     Unsent,
-    /// The connection ended after bytes of the request were written and before an answer began.
+    /// The connection ended after bytes of the request were written and before the head of its answer was complete.
     #[error("the connection was lost without an answer")]
     Lost,
     /// The answer was cut short.
     #[error("the answer was cut short")]
     Cut,
-    /// The bytes received are no answer.
+    /// The received bytes are not a valid answer.
     #[error("the answer is not valid HTTP/1.1")]
     Malformed,
-    /// The answer says that it is larger than allowed.
+    /// The answer declares a body larger than allowed.
     #[error("the answer is too large")]
     TooLarge,
-    /// Bytes came without an end in sight.
-    #[error("the answer does not end")]
+    /// The received bytes exceed a limit: of the head, of the body, of the memory budget, or of skipped answers.
+    #[error("the answer exceeds a limit")]
     Endless,
 }
 
@@ -56,17 +56,17 @@
     pub method: &'a Method,
     /// Path and query.
     pub target: &'a str,
-    /// All headers but those that frame the body.
+    /// All headers except those that frame the body.
     pub headers: &'a HeaderMap,
     /// The body.
     pub body: &'a Bytes,
-    /// Largest body of an answer, in bytes.
+    /// Maximum size of the answer's body, in bytes.
     pub max_answer_bytes: usize,
-    /// Where the bodies of answers are held while they come.
+    /// Memory budget for the answer's body while it is read.
     pub budget: &'a Budget,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// The status.
@@ -75,14 +75,14 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Whether the end of the body was told; otherwise the connection's end told it.
+    /// Whether the end of the body was declared by its framing; otherwise it ended with the connection.
     pub framed: bool,
     /// Whether the connection may carry another request.
     pub reusable: bool,
 }
 
 impl Answer {
-    /// How long the server keeps an idle connection, if it says so.
+    /// Returns how long the server keeps an idle connection, from its `Keep-Alive` header; `None` if it does not say.
     pub fn keep_alive_timeout(&self) -> Option<Duration> {
         let value = head::text(&self.headers, &HeaderName::from_static("keep-alive"))?;
         let mut fields = value.split(',').filter_map(|field| field.trim().split_once('='));
@@ -91,7 +91,7 @@
     }
 }
 
-/// A connection towards a server.
+/// A connection to a server.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -101,33 +101,39 @@
 }
 
 impl Connection {
-    /// Connects to `address`; bytes that stay unacknowledged for `silence` end the connection.
-    pub async fn open(address: SocketAddr, silence: Duration) -> io::Result<Self> {
+    /// Connects to `address`; the connection ends if sent bytes stay unacknowledged for `user_timeout`.
+    pub async fn open(address: SocketAddr, user_timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         let socket = socket2::SockRef::from(&stream);
         socket.set_tcp_nodelay(true)?;
-        socket.set_tcp_user_timeout(Some(silence))?;
-        let probes =
-            socket2::TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER).with_retries(PROBES);
-        socket.set_tcp_keepalive(&probes)?;
+        socket.set_tcp_user_timeout(Some(user_timeout))?;
+        let keepalive = socket2::TcpKeepalive::new()
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
+            .with_retries(KEEPALIVE_RETRIES);
+        socket.set_tcp_keepalive(&keepalive)?;
         Ok(Self { stream, buffer: BytesMut::new(), used: false })
     }
 
-    /// Whether an idle connection is still of use: it is open, and nothing came that nobody asked for.
+    /// Returns whether the connection can carry a request: it is open, and no unexpected bytes have arrived.
     pub fn is_idle(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
         self.buffer.is_empty() && read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether a request was sent before, so that an answer may be to an earlier one.
+    /// Returns whether a request was sent before, so that an answer may belong to an earlier one.
     pub const fn used(&self) -> bool {
         self.used
     }
 
-    /// Sends `call` and gives its whole answer. Answers for which `ours` does not hold belong to an earlier
+    /// Sends `call` and returns its complete answer. Answers for which `is_ours` returns false belong to an earlier
     /// request and are dropped.
-    pub async fn exchange(&mut self, call: Call<'_>, ours: impl Fn(&head::Response) -> bool) -> Result<Answer, Fault> {
+    pub async fn exchange(
+        &mut self,
+        call: Call<'_>,
+        is_ours: impl Fn(&head::Response) -> bool,
+    ) -> Result<Answer, Fault> {
         self.used = true;
         let mut out = BytesMut::new();
         encode::request(&mut out, call.method, call.target, call.headers, call.body.len());
@@ -137,14 +143,14 @@
         let (mut reader, mut writer) = self.stream.split();
         let mut writable = true;
         loop {
-            if let Some(answer) = reading.step(&mut self.buffer, &ours)? {
+            if let Some(answer) = reading.advance(&mut self.buffer, &is_ours)? {
                 let reusable = answer.reusable && out.is_empty() && self.buffer.is_empty();
                 return Ok(Answer { reusable, ..answer });
             }
             self.buffer.reserve(READ_BYTES);
             tokio::select! {
                 written = writer.write_buf(&mut out), if writable && !out.is_empty() => {
-                    // An answer may still come: a server may answer before it has read the whole body.
+                    // An answer may still arrive: a server may answer before it has read the whole body.
                     writable = written.is_ok_and(|bytes| bytes > 0);
                     if !writable && out.len() == length {
                         return Err(Fault::Unsent);
@@ -160,18 +166,19 @@
     }
 }
 
-/// The answer as far as it has come.
+/// The answer as far as it has been received.
 struct Reading<'a> {
     call: Call<'a>,
     head: Option<head::Response>,
     decoder: Decoder,
     body: BytesMut,
-    part: Reservation<'a>,
-    /// Bytes of the body that have come.
+    reservation: Reservation<'a>,
+    /// Bytes of the body that have been received.
     length: usize,
+    /// Whether the answer belongs to an earlier request.
     stray: bool,
-    /// Heads that were passed over.
-    passed_over: usize,
+    /// Number of heads that were skipped.
+    skipped: usize,
 }
 
 impl<'a> Reading<'a> {
@@ -181,21 +188,25 @@
             head: None,
             decoder: Decoder::new(Framing::Length(0)),
             body: BytesMut::new(),
-            part: call.budget.reserve(),
+            reservation: call.budget.reserve(),
             length: 0,
             stray: false,
-            passed_over: 0,
+            skipped: 0,
         }
     }
 
-    /// Takes what has come; gives the answer once it is whole.
-    fn step(&mut self, buffer: &mut BytesMut, ours: impl Fn(&head::Response) -> bool) -> Result<Option<Answer>, Fault> {
+    /// Decodes the received bytes in `buffer`; returns the answer once it is complete.
+    fn advance(
+        &mut self,
+        buffer: &mut BytesMut,
+        is_ours: impl Fn(&head::Response) -> bool,
+    ) -> Result<Option<Answer>, Fault> {
         loop {
-            if self.head.is_none() && !self.start(buffer, &ours)? {
+            if self.head.is_none() && !self.read_head(buffer, &is_ours)? {
                 return Ok(None);
             }
             while let Some(part) = self.decoder.decode(buffer).map_err(fault)? {
-                self.hold(&part)?;
+                self.append(&part)?;
             }
             if !self.decoder.is_complete() {
                 return Ok(None);
@@ -203,15 +214,15 @@
             let body = self.body.split().freeze();
             let Some(head) = self.head.take() else { return Ok(None) };
             if !self.stray {
-                return Ok(Some(whole(head, body, true)));
+                return Ok(Some(answer(head, body, true)));
             }
         }
     }
 
-    /// Keeps a part of the body; what belongs to nobody is only counted.
-    fn hold(&mut self, part: &[u8]) -> Result<(), Fault> {
+    /// Appends a part of the body; the parts of a stray answer are counted and dropped.
+    fn append(&mut self, part: &[u8]) -> Result<(), Fault> {
         self.length += part.len();
-        if self.length > self.call.max_answer_bytes || (!self.stray && !self.part.grow(part.len())) {
+        if self.length > self.call.max_answer_bytes || (!self.stray && !self.reservation.grow(part.len())) {
             return Err(Fault::Endless);
         }
         if !self.stray {
@@ -220,16 +231,16 @@
         Ok(())
     }
 
-    /// Reads the head of an answer; says whether there is one.
-    fn start(&mut self, buffer: &mut BytesMut, ours: impl Fn(&head::Response) -> bool) -> Result<bool, Fault> {
+    /// Reads the head of an answer that is not interim; returns whether it is complete.
+    fn read_head(&mut self, buffer: &mut BytesMut, is_ours: impl Fn(&head::Response) -> bool) -> Result<bool, Fault> {
         loop {
             let Some(head) = head::Response::parse(buffer, MAX_HEAD_BYTES).map_err(fault)? else {
                 return Ok(false);
             };
             let interim = head.status.is_informational();
-            self.stray = !interim && !ours(&head);
-            self.passed_over += usize::from(interim || self.stray);
-            if self.passed_over > MAX_PASSED_OVER {
+            self.stray = !interim && !is_ours(&head);
+            self.skipped += usize::from(interim || self.stray);
+            if self.skipped > MAX_SKIPPED {
                 return Err(Fault::Endless);
             }
             if interim {
@@ -249,16 +260,16 @@
         }
     }
 
-    /// The connection ended in order: the answer, if that makes it whole.
+    /// Handles the orderly end of the connection: returns the answer if that completes it.
     fn end(&mut self) -> Option<Answer> {
         if self.stray || !self.decoder.until_close() {
             return None;
         }
         let head = self.head.take()?;
-        Some(whole(head, self.body.split().freeze(), false))
+        Some(answer(head, self.body.split().freeze(), false))
     }
 
-    /// What it means that the connection ended now.
+    /// Returns the fault if the connection ends now; `unsent` means that no byte of the request was written.
     fn fault(&self, unsent: bool) -> Fault {
         match &self.head {
             Some(_) if !self.stray => Fault::Cut,
@@ -268,7 +279,7 @@
     }
 }
 
-fn whole(head: head::Response, body: Bytes, framed: bool) -> Answer {
+fn answer(head: head::Response, body: Bytes, framed: bool) -> Answer {
     Answer { status: head.status, headers: head.headers, body, framed, reusable: framed && head.keep_alive }
 }
 
--- a/crates/h1/src/encode.rs
+++ b/crates/h1/src/encode.rs
@@ -1,32 +1,32 @@
-//! Writing heads.
+//! Encoding of heads.
 
 use bytes::{BufMut as _, BytesMut};
 use http::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 use http::{Method, StatusCode};
 
-/// Writes the head of a request whose body has `length` bytes; a body of no bytes is declared only if `method`
-/// usually has one.
+/// Writes the head of a request whose body has `length` bytes; an empty body is declared only if requests with `method`
+/// usually have one.
 pub fn request(out: &mut BytesMut, method: &Method, target: &str, headers: &HeaderMap, length: usize) {
     out.reserve(256);
     out.put_slice(method.as_str().as_bytes());
     out.put_u8(b' ');
     out.put_slice(target.as_bytes());
     out.put_slice(b" HTTP/1.1\r\n");
-    fields(out, headers);
+    header_lines(out, headers);
     if length > 0 || matches!(*method, Method::POST | Method::PUT | Method::PATCH) {
-        declare(out, length);
+        content_length(out, length);
     }
     out.put_slice(b"\r\n");
 }
 
-/// Writes the head of an answer whose body has `length` bytes, or whose status allows none.
+/// Writes the head of an answer whose body has `length` bytes; `None` if its status allows no body.
 pub fn response(out: &mut BytesMut, status: StatusCode, headers: &HeaderMap, length: Option<usize>, close: bool) {
     out.reserve(256);
     let reason = status.canonical_reason().unwrap_or("Unknown");
     out.put_slice(format!("HTTP/1.1 {} {reason}\r\n", status.as_u16()).as_bytes());
-    fields(out, headers);
+    header_lines(out, headers);
     if let Some(length) = length {
-        declare(out, length);
+        content_length(out, length);
     }
     if close {
         out.put_slice(b"connection: close\r\n");
@@ -34,8 +34,8 @@
     out.put_slice(b"\r\n");
 }
 
-/// Writes `headers`, but for those that frame a body: a message has one framing, and it is ours.
-fn fields(out: &mut BytesMut, headers: &HeaderMap) {
+/// Writes `headers` except those that frame a body: the message must have only the framing that this module writes.
+fn header_lines(out: &mut BytesMut, headers: &HeaderMap) {
     let framing = [CONTENT_LENGTH, TRANSFER_ENCODING];
     for (name, value) in headers.iter().filter(|(name, _)| !framing.contains(name)) {
         out.put_slice(name.as_str().as_bytes());
@@ -45,6 +45,6 @@
     }
 }
 
-fn declare(out: &mut BytesMut, length: usize) {
+fn content_length(out: &mut BytesMut, length: usize) {
     out.put_slice(format!("{CONTENT_LENGTH}: {length}\r\n").as_bytes());
 }
--- a/crates/h1/src/error.rs
+++ b/crates/h1/src/error.rs
@@ -1,12 +1,12 @@
-//! Why a message could not be read.
+//! Errors of reading a message.
 
-/// What is wrong with a message.
+/// Why a message could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The bytes are no HTTP/1.1 message.
+    /// The bytes are not a valid HTTP/1.1 message.
     #[error("not a valid HTTP/1.1 message")]
     Malformed,
-    /// The length of the body can be read in two ways.
+    /// The length of the body is ambiguous.
     #[error("the length of the body is ambiguous")]
     Ambiguous,
     /// The head is larger than allowed.
@@ -15,8 +15,8 @@
     /// The body is larger than allowed.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The connection ended before the message did.
-    #[error("the connection ended before the message")]
+    /// The connection ended before the message was complete.
+    #[error("the connection ended before the message was complete")]
     Cut,
 }
 
--- a/crates/h1/src/head.rs
+++ b/crates/h1/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Parsing of the heads of requests and answers.
 
 use bytes::{Buf as _, BytesMut};
 use http::header::{CONNECTION, HeaderMap, HeaderName, HeaderValue};
@@ -6,10 +6,10 @@
 
 use crate::error::{Error, Result};
 
-/// Header lines in one head at most.
+/// Maximum number of header lines in one head.
 const MAX_HEADERS: usize = 100;
 
-/// Headers that concern one connection only and are never passed on.
+/// Hop-by-hop headers, which apply to one connection only and are never forwarded.
 const HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -47,7 +47,8 @@
 }
 
 impl Request {
-    /// Takes a head off the front of `buffer`; `None` if it is not whole yet.
+    /// Parses a head and removes it from the front of `buffer`; `None` if it is not complete yet. A head of more than
+    /// `max_bytes` bytes is an error.
     pub fn parse(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>> {
         skip_blank_lines(buffer);
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -66,19 +67,20 @@
         Ok(Some(Self { method, target, headers, keep_alive }))
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The query without the question mark, if there is one.
+    /// Returns the query without the question mark; `None` if there is none.
     pub fn query(&self) -> Option<&str> {
         self.target.split_once('?').map(|(_, query)| query)
     }
 }
 
 impl Response {
-    /// Takes a head off the front of `buffer`; `None` if it is not whole yet.
+    /// Parses a head and removes it from the front of `buffer`; `None` if it is not complete yet. A head of more than
+    /// `max_bytes` bytes is an error.
     pub fn parse(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut lines);
@@ -96,17 +98,17 @@
     }
 }
 
-/// Whether a header concerns one connection only.
+/// Returns whether a header applies to one connection only.
 pub fn is_hop_by_hop(name: &str) -> bool {
     HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop))
 }
 
-/// The value of a header as text, if it is there and is text.
+/// Returns the value of a header as text; `None` if it is absent or not visible ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Empty lines before a request are allowed.
+/// Removes empty lines before a request, which HTTP/1.1 allows.
 fn skip_blank_lines(buffer: &mut BytesMut) {
     let blank = buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
     buffer.advance(blank);
--- a/crates/h1/src/lib.rs
+++ b/crates/h1/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 messages over `httparse`: heads, framing of bodies, and one connection towards a server.
+//! HTTP/1.1 messages, parsed with `httparse`: heads, framing of bodies, and a client connection to a server. A response
+//! is called an answer.
 //!
-//! hyper is not used on the request path: it starts a pipelined request only after the answer before it, does
-//! not notice that a caller with pipelined requests has left, and takes a late answer to an earlier request for
-//! the answer to the present one (`docs/STYLE.md`).
+//! hyper is not used on the request path: it starts a pipelined request only after the answer to the one before, does
+//! not notice that a caller with pipelined requests has disconnected, and takes a late answer to an earlier request for
+//! the answer to the current one (`docs/STYLE.md`).
 
 pub mod body;
 pub mod budget;
--- a/crates/h1/tests/bodies.rs
+++ b/crates/h1/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Where messages end, however their bytes are cut up on the way.
+//! Framing of messages whose bytes arrive in arbitrary pieces.
 
 use bytes::BytesMut;
 use h1::body::{Decoder, Framing};
@@ -27,7 +27,7 @@
 #[case::too_long(&[("content-length", "99999999999999999999")], Err(Error::Ambiguous))]
 #[case::other_encoding(&[("transfer-encoding", "gzip, chunked")], Err(Error::Ambiguous))]
 #[case::twice_chunked(&[("transfer-encoding", "chunked"), ("transfer-encoding", "chunked")], Err(Error::Ambiguous))]
-fn a_request_that_can_be_read_in_two_ways_is_none(
+fn a_request_that_can_be_read_in_two_ways_is_an_error(
     #[case] lines: &[(&'static str, &'static str)],
     #[case] framing: Result<Framing, Error>,
 ) {
@@ -40,7 +40,7 @@
 #[case::no_content(Method::GET, StatusCode::NO_CONTENT, &[("content-length", "9")], Framing::Length(0))]
 #[case::not_modified(Method::GET, StatusCode::NOT_MODIFIED, &[], Framing::Length(0))]
 #[case::length(Method::GET, StatusCode::OK, &[("content-length", "9")], Framing::Length(9))]
-fn an_answer_ends_as_its_request_and_status_say(
+fn the_framing_of_an_answer_depends_on_its_request_and_status(
     #[case] method: Method,
     #[case] status: StatusCode,
     #[case] lines: &[(&'static str, &'static str)],
@@ -49,7 +49,7 @@
     assert_eq!(Framing::of_response(&method, status, &headers(lines)), Ok(framing));
 }
 
-/// Feeds `bytes` in random parts; gives the body and what is left behind it.
+/// Decodes `bytes` in random pieces; returns the body and the bytes after it.
 fn feed(framing: Framing, bytes: &[u8], rng: &mut fastrand::Rng) -> Result<(Vec<u8>, Vec<u8>), Error> {
     let (mut decoder, mut buffer, mut body, mut rest) = (Decoder::new(framing), BytesMut::new(), Vec::new(), bytes);
     loop {
@@ -59,8 +59,8 @@
         if decoder.is_complete() || rest.is_empty() {
             break;
         }
-        let (now, later) = rest.split_at(rng.usize(1..=rest.len().min(7)));
-        buffer.extend_from_slice(now);
+        let (piece, later) = rest.split_at(rng.usize(1..=rest.len().min(7)));
+        buffer.extend_from_slice(piece);
         rest = later;
     }
     decoder.close()?;
@@ -72,13 +72,13 @@
 #[case::chunks(Framing::Chunked, "5\r\nhello\r\n6;x=y\r\n world\r\n0\r\n\r\n", "hello world")]
 #[case::trailer(Framing::Chunked, "b\r\nhello world\r\n0\r\nx: y\r\n\r\n", "hello world")]
 #[case::bare_line_ends(Framing::Chunked, "5\r\nhello\n0\r\n\n", "hello")]
-fn a_body_is_whole_however_it_is_cut_up(#[case] framing: Framing, #[case] bytes: &str, #[case] body: &str) {
+fn a_body_is_decoded_from_any_pieces(#[case] framing: Framing, #[case] bytes: &str, #[case] body: &str) {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let next = "GET / HTTP/1.1\r\n\r\n";
         let fed = feed(framing, format!("{bytes}{next}").as_bytes(), &mut rng);
         let expected = Ok((body.as_bytes().to_vec(), next.as_bytes().to_vec()));
-        assert_eq!(fed, expected, "seed {seed}: what comes behind belongs to the next message");
+        assert_eq!(fed, expected, "seed {seed}: the bytes after the body belong to the next message");
     }
 }
 
@@ -90,21 +90,25 @@
 #[case::no_break(Framing::Chunked, "5\r\nhelloX\r\n0\r\n\r\n", Error::Malformed)]
 #[case::no_size(Framing::Chunked, "hello\r\n", Error::Malformed)]
 #[case::size_too_large(Framing::Chunked, "fffffffffffffffff\r\n", Error::Malformed)]
-fn a_body_that_is_cut_or_spoiled_is_never_whole(#[case] framing: Framing, #[case] bytes: &str, #[case] error: Error) {
+fn a_body_that_is_truncated_or_malformed_is_never_complete(
+    #[case] framing: Framing,
+    #[case] bytes: &str,
+    #[case] error: Error,
+) {
     for seed in 0..50 {
         assert_eq!(feed(framing, bytes.as_bytes(), &mut fastrand::Rng::with_seed(seed)), Err(error), "seed {seed}");
     }
 }
 
 #[test]
-fn a_head_is_taken_once_it_is_whole_and_refused_when_it_is_too_large() {
+fn a_head_is_parsed_once_it_is_complete_and_refused_if_it_is_too_large() {
     let text = "\r\nPOST /a?b=c HTTP/1.1\r\nhost: x\r\nconnection: keep-alive, Close\r\n\r\nbody";
     for end in 0..text.len() - 4 {
-        let taken = head::Request::parse(&mut BytesMut::from(&text[..end]), 1_000);
-        assert!(matches!(taken, Ok(None)), "{end}: {taken:?}");
+        let parsed = head::Request::parse(&mut BytesMut::from(&text[..end]), 1_000);
+        assert!(matches!(parsed, Ok(None)), "{end}: {parsed:?}");
     }
     let mut buffer = BytesMut::from(text);
-    let head = head::Request::parse(&mut buffer, 1_000).expect("it is valid").expect("it is whole");
+    let head = head::Request::parse(&mut buffer, 1_000).expect("it is valid").expect("it is complete");
     assert_eq!((head.path(), head.query(), head.keep_alive), ("/a", Some("b=c"), false));
     assert_eq!(&buffer[..], b"body");
     let mut endless = BytesMut::from(format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(2_000)).as_str());
@@ -112,13 +116,13 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn an_encoded_request_is_parsed_with_a_single_framing() {
     let mut out = BytesMut::new();
     let given = headers(&[("x-one", "1"), ("transfer-encoding", "chunked")]);
     encode::request(&mut out, &Method::POST, "/orders?a=b", &given, 3);
     out.extend_from_slice(b"abc");
-    let head = head::Request::parse(&mut out, 1_000).expect("it is valid").expect("it is whole");
+    let head = head::Request::parse(&mut out, 1_000).expect("it is valid").expect("it is complete");
     assert_eq!((head.method, head.target.as_str()), (Method::POST, "/orders?a=b"));
-    assert_eq!(Framing::of_request(&head.headers), Ok(Framing::Length(3)), "one framing, ours");
+    assert_eq!(Framing::of_request(&head.headers), Ok(Framing::Length(3)), "only the framing of the encoder");
     assert_eq!(&out[..], b"abc");
 }
--- a/crates/h1/tests/budget.rs
+++ b/crates/h1/tests/budget.rs
@@ -1,36 +1,36 @@
-//! Memory for answers that are being read.
+//! Memory budget for answers that are being read.
 
 use h1::Budget;
 use h1::budget::Reservation;
 
 const BYTES: usize = 1_000_000;
 
-/// Load: 50 servers send without end, all at once, in pieces of 4 KB; after each round an answer of half an even
-/// part comes.
+/// Load: 50 servers send endless answers at the same time, in pieces of 4 KB; after each round an answer of half an equal
+/// share arrives.
 #[test]
-fn answers_without_an_end_take_bounded_room_and_usual_ones_come_through() {
+fn answers_without_an_end_use_bounded_memory_and_usual_ones_complete() {
     let budget = Budget::new(BYTES);
     let mut endless: Vec<Reservation<'_>> = (0..50).map(|_| budget.reserve()).collect();
-    let mut most = 0;
+    let mut peak = 0;
     for _ in 0..1_000 {
-        for part in &mut endless {
-            part.grow(4_096);
+        for reservation in &mut endless {
+            reservation.grow(4_096);
         }
         let mut usual = budget.reserve();
         assert!((0..5).all(|_| usual.grow(BYTES / 500)), "{} held", budget.reserved());
-        most = most.max(budget.reserved());
+        peak = peak.max(budget.reserved());
     }
-    assert!(most <= BYTES + 20_000, "{most} bytes held");
+    assert!(peak <= BYTES + 20_000, "{peak} bytes held");
     drop(endless);
-    assert_eq!(budget.reserved(), 0, "all of it is given back");
+    assert_eq!(budget.reserved(), 0, "all of it is released");
 }
 
 #[test]
-fn one_answer_may_have_all_the_room_while_nobody_else_wants_it() {
+fn one_answer_may_use_the_whole_budget_while_there_is_no_other() {
     let budget = Budget::new(BYTES);
-    let mut part = budget.reserve();
-    assert!(part.grow(BYTES));
-    assert!(!part.grow(1));
+    let mut reservation = budget.reserve();
+    assert!(reservation.grow(BYTES));
+    assert!(!reservation.grow(1));
     let mut other = budget.reserve();
     assert!(other.grow(BYTES / 2) && !other.grow(1));
 }
--- a/crates/h1/tests/client.rs
+++ b/crates/h1/tests/client.rs
@@ -1,4 +1,4 @@
-//! A connection towards servers that answer early, late, twice, half or not at all.
+//! A client connection to servers that answer early, late, twice, incompletely or not at all.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,10 +15,10 @@
 const ID: HeaderName = HeaderName::from_static("x-id");
 
 fn runtime() -> Runtime {
-    Builder::new_current_thread().enable_all().build().expect("the system has room")
+    Builder::new_current_thread().enable_all().build().expect("the runtime starts")
 }
 
-/// A server that does `work` with its first connection, on a thread.
+/// Starts a server that does `work` with its first connection, on a thread; returns its address.
 fn server(work: impl FnOnce(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
@@ -28,11 +28,11 @@
 
 /// Reads until the end of a head.
 fn read_head(stream: &mut TcpStream) {
-    let mut seen = Vec::new();
+    let mut head = Vec::new();
     let mut byte = [0];
-    while !seen.ends_with(b"\r\n\r\n") {
-        stream.read_exact(&mut byte).expect("the head comes whole");
-        seen.push(byte[0]);
+    while !head.ends_with(b"\r\n\r\n") {
+        stream.read_exact(&mut byte).expect("the head arrives complete");
+        head.push(byte[0]);
     }
 }
 
@@ -60,7 +60,7 @@
     "HTTP/1.1 200 OK\r\nx-id: old\r\ncontent-length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nx-id: new\r\ncontent-length: 3\r\n\r\nnew",
     Ok(Some(("new", true)))
 )]
-fn an_answer_is_whole_and_ours_or_none(
+fn an_answer_is_complete_and_ours_or_a_fault(
     #[case] bytes: &'static str,
     #[case] expected: Result<Option<(&'static str, bool)>, Fault>,
 ) {
@@ -73,21 +73,21 @@
         send(&mut connection, "new", &Bytes::new()).await
     });
     match expected {
-        Err(fault) => assert_eq!(answer.expect_err("it is not whole"), fault),
+        Err(fault) => assert_eq!(answer.expect_err("it is not complete"), fault),
         Ok(None) => assert!(matches!(answer, Err(Fault::TooLarge | Fault::Cut))),
         Ok(Some((body, framed))) => {
-            let answer = answer.expect("it is whole");
+            let answer = answer.expect("it is complete");
             assert_eq!((&answer.body[..], answer.framed), (body.as_bytes(), framed));
         }
     }
 }
 
 #[test]
-fn an_answer_that_comes_before_the_body_is_sent_counts_and_ends_the_connection() {
+fn an_answer_before_the_body_is_sent_is_returned_and_ends_the_connection() {
     let address = server(|mut stream| {
         read_head(&mut stream);
         stream.write_all(b"HTTP/1.1 413 Too Large\r\ncontent-length: 2\r\n\r\nno").expect("the client reads");
-        // The body stays unread until the client leaves.
+        // The body stays unread until the client disconnects.
         drop(stream.read(&mut [0; 1]));
         std::thread::park_timeout(Duration::from_mins(1));
     });
@@ -96,32 +96,32 @@
         let mut connection = Connection::open(address, Duration::from_mins(1)).await.expect("the server listens");
         send(&mut connection, "a", &body).await
     });
-    let answer = answer.expect("it is whole");
+    let answer = answer.expect("it is complete");
     assert_eq!((answer.status.as_u16(), answer.reusable), (413, false));
 }
 
 #[test]
-fn bytes_that_nobody_asked_for_end_an_idle_connection() {
-    let (told, tell) = std::sync::mpsc::channel();
+fn unexpected_bytes_end_an_idle_connection() {
+    let (send_more, more) = std::sync::mpsc::channel();
     let address = server(move |mut stream| {
         read_head(&mut stream);
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").expect("the client reads");
-        tell.recv().expect("the test goes on");
+        more.recv().expect("the test goes on");
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno").expect("the client reads");
-        told_end(&mut stream);
+        wait_for_close(&mut stream);
     });
     runtime().block_on(async {
         let mut connection = Connection::open(address, Duration::from_secs(5)).await.expect("the server listens");
-        let answer = send(&mut connection, "a", &Bytes::new()).await.expect("it is whole");
+        let answer = send(&mut connection, "a", &Bytes::new()).await.expect("it is complete");
         assert!(answer.reusable && connection.is_idle());
-        told.send(()).expect("the server waits");
+        send_more.send(()).expect("the server waits");
         while connection.is_idle() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     });
 }
 
-/// Load: a server sends bytes that are no answer and does not stop.
+/// Load: a server sends bytes that never form a complete answer and does not stop.
 #[rstest]
 #[case::head(
     "HTTP/1.1 200 OK\r\nx: ",
@@ -135,29 +135,29 @@
 #[case::chunk_line("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4", ";extension")]
 #[case::trailers("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n0\r\n", "x: y\r\n")]
 #[case::no_http("", "hello, I have not stopped talking since ")]
-fn bytes_without_an_end_end_the_connection(#[case] begin: &'static str, #[case] again: &'static str) {
+fn bytes_without_an_end_close_the_connection(#[case] begin: &'static str, #[case] repeated: &'static str) {
     let (ended, end) = std::sync::mpsc::channel();
     let address = server(move |mut stream| {
         read_head(&mut stream);
         stream.write_all(begin.as_bytes()).expect("the client reads");
-        while stream.write_all(again.as_bytes()).is_ok() {}
+        while stream.write_all(repeated.as_bytes()).is_ok() {}
         ended.send(()).expect("the test waits");
     });
     let fault = runtime().block_on(async {
         let mut connection = Connection::open(address, Duration::from_secs(5)).await.expect("the server listens");
-        send(&mut connection, "new", &Bytes::new()).await.expect_err("it is no answer")
+        send(&mut connection, "new", &Bytes::new()).await.expect_err("it is not an answer")
     });
     assert!(matches!(fault, Fault::Endless | Fault::Malformed), "{fault:?}");
     end.recv().expect("the connection is closed, so that the server stops");
 }
 
-/// Waits until the client closes.
-fn told_end(stream: &mut TcpStream) {
+/// Waits until the client closes the connection.
+fn wait_for_close(stream: &mut TcpStream) {
     drop(stream.read_to_end(&mut Vec::new()));
 }
 
 #[test]
-fn a_connection_that_ended_while_it_was_idle_sends_nothing() {
+fn a_connection_that_was_closed_while_idle_sends_nothing() {
     let address = server(drop);
     runtime().block_on(async {
         let mut connection = Connection::open(address, Duration::from_secs(5)).await.expect("the server listens");
