--- a/crates/store/src/mirror/relay.rs
+++ b/crates/store/src/mirror/relay.rs
@@ -61,24 +61,24 @@
         Changes { full: true, items, ..empty }
     }
 
-    /// Merges the changes of another mirror into this one; returns whether any value changed. `items` holds the items of
-    /// all pages if the changes are a full list. `sent` is when the request for them was sent.
-    pub fn merge(&mut self, changes: &Changes, items: Vec<Item>, sent: Time, now: Time) -> bool {
-        self.merge_grace_period(changes, now.since(sent), now);
+    /// Merges the changes received from another mirror into this one; returns whether any value changed. `items` holds
+    /// the items of all pages if the changes are a full list. `sent` is when the request for them was sent.
+    pub fn merge(&mut self, received: &Changes, items: Vec<Item>, sent: Time, now: Time) -> bool {
+        self.merge_grace_period(received, now.since(sent), now);
         let mut changed = false;
         // Changes that begin after our revision would leave an undetected gap, and a state that is older than ours would
         // restore keys that were deleted since.
-        let applicable = changes.after <= self.revision && changes.revision >= self.revision;
-        if applicable && changes.full {
+        let applicable = received.after <= self.revision && received.revision >= self.revision;
+        if applicable && received.full {
             let listed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-            changed |= self.remove_unlisted(&listed, changes.revision, now);
+            changed |= self.remove_unlisted(&listed, received.revision, now);
             changed |= self.put_items(items, now);
-            self.finish_full_sync(changes.revision);
+            self.finish_full_sync(received.revision);
         } else if applicable {
             changed |= self.put_items(items, now);
-            changed |= self.apply(changes.deletions().collect(), changes.revision, now);
+            changed |= self.apply(received.deletions().collect(), received.revision, now);
         }
-        if let Some(age) = changes.age(now.since(sent)).filter(|_| changes.after <= self.revision) {
+        if let Some(age) = received.age(now.since(sent)).filter(|_| received.after <= self.revision) {
             self.confirm(now - age);
         }
         changed
@@ -87,10 +87,10 @@
     /// Adopts the sender's grace period if the sender has had contact with the store without interruption: then it knows
     /// best whether there was an outage, while our own calls may have failed for another reason. A sender without such
     /// contact can only prolong the grace period.
-    fn merge_grace_period(&mut self, changes: &Changes, elapsed: Duration, now: Time) {
-        let grace_until = now + Duration::from_millis(changes.grace_ms);
-        if changes.age(elapsed).is_none_or(|age| age >= MAX_CURRENT_AGE) {
-            self.grace_until = if changes.grace_ms > 0 { self.grace_until.max(grace_until) } else { self.grace_until };
+    fn merge_grace_period(&mut self, received: &Changes, elapsed: Duration, now: Time) {
+        let grace_until = now + Duration::from_millis(received.grace_ms);
+        if received.age(elapsed).is_none_or(|age| age >= MAX_CURRENT_AGE) {
+            self.grace_until = if received.grace_ms > 0 { self.grace_until.max(grace_until) } else { self.grace_until };
             return;
         }
         self.grace_until = grace_until;
