--- a/crates/h1/src/budget.rs
+++ b/crates/h1/src/budget.rs
@@ -1,8 +1,8 @@
 //! Memory budget for answers that are being read on all connections.
 //!
-//! Load pattern: many servers send bytes without end at the same time. Each answer stays below the maximum size, but all
-//! of them together do not fit into memory. While memory is short, answers that hold more than an equal share of the
-//! budget get no more, so that answers of a usual size still complete.
+//! Load pattern: many servers send bytes without end at the same time. Each answer stays below the maximum size, but
+//! all of them together do not fit into memory. While memory is short, answers that hold more than an equal share of
+//! the budget get no more, so that answers of a usual size still complete.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/h1/tests/budget.rs
+++ b/crates/h1/tests/budget.rs
@@ -5,8 +5,8 @@
 
 const BYTES: usize = 1_000_000;
 
-/// Load: 50 servers send endless answers at the same time, in pieces of 4 KB; after each round an answer of half an equal
-/// share arrives.
+/// Load: 50 servers send endless answers at the same time, in pieces of 4 KB; after each round an answer of half an
+/// equal share arrives.
 #[test]
 fn answers_without_an_end_use_bounded_memory_and_usual_ones_complete() {
     let budget = Budget::new(BYTES);
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -97,8 +97,9 @@
 }
 
 impl Changes {
-    /// Returns the age of the sender's knowledge when the answer arrived, `elapsed` after the request was sent; the time
-    /// that the sender waited for changes does not count. `None` if the sender's mirror was never known to be up to date.
+    /// Returns the age of the sender's knowledge when the answer arrived, `elapsed` after the request was sent; the
+    /// time that the sender waited for changes does not count. `None` if the sender's mirror was never known to be up
+    /// to date.
     pub fn age(&self, elapsed: Duration) -> Option<Duration> {
         let transit = elapsed.saturating_sub(Duration::from_millis(self.waited_ms));
         self.age_ms.map(|age| Duration::from_millis(age) + transit)
--- a/crates/store/src/liveness.rs
+++ b/crates/store/src/liveness.rs
@@ -1,8 +1,8 @@
 //! Detects a stalled watch.
 //!
-//! A watch is a long poll. If the store was unavailable for a moment, or a middlebox dropped the connection's state, the
-//! watch keeps waiting without an error. Cheap calls in parallel, the liveness checks, reveal that: the store's revision
-//! advances while the watch returns nothing, or a check fails and the next one is answered.
+//! A watch is a long poll. If the store was unavailable for a moment, or a middlebox dropped the connection's state,
+//! the watch keeps waiting without an error. Cheap calls in parallel, the liveness checks, reveal that: the store's
+//! revision advances while the watch returns nothing, or a check fails and the next one is answered.
 
 use std::time::Duration;
 
--- a/crates/store/src/mirror/mod.rs
+++ b/crates/store/src/mirror/mod.rs
@@ -103,7 +103,7 @@
         self.failing_since.get_or_insert(since);
     }
 
-    /// Applies the changes up to `revision`; returns whether any value changed.
+    /// Applies the changes up to `revision`; returns whether anything changed.
     pub fn apply(&mut self, events: Vec<Event>, revision: u64, now: Time) -> bool {
         let mut changed = false;
         for event in events {
@@ -116,7 +116,7 @@
         changed
     }
 
-    /// Replaces all keys with the list of `entries` as of `revision`; returns whether any value changed. Newer keys of
+    /// Replaces all keys with the list of `entries` as of `revision`; returns whether anything changed. Newer keys of
     /// the mirror stay.
     pub fn replace(&mut self, entries: Vec<Entry>, revision: u64, now: Time) -> bool {
         let listed: BTreeSet<&str> = entries.iter().map(|entry| entry.key.as_str()).collect();
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Removes a key that is missing as of `revision`, or schedules its removal for the end of the grace period; returns
-    /// whether it was removed now.
+    /// Removes a key that is missing as of `revision`, or schedules its removal for the end of the grace period;
+    /// returns whether it was removed now.
     fn remove(&mut self, key: &str, revision: u64, now: Time) -> bool {
         let grace_until = self.grace_until;
         let Some(record) = self.records.get_mut(key) else { return false };
--- a/crates/store/src/mirror/relay.rs
+++ b/crates/store/src/mirror/relay.rs
@@ -61,13 +61,13 @@
         Changes { full: true, items, ..empty }
     }
 
-    /// Merges the changes received from another mirror into this one; returns whether any value changed. `items` holds
+    /// Merges the changes received from another mirror into this one; returns whether anything changed. `items` holds
     /// the items of all pages if the changes are a full list. `sent` is when the request for them was sent.
     pub fn merge(&mut self, received: &Changes, items: Vec<Item>, sent: Time, now: Time) -> bool {
         self.merge_grace_period(received, now.since(sent), now);
         let mut changed = false;
-        // Changes that begin after our revision would leave an undetected gap, and a state that is older than ours would
-        // restore keys that were deleted since.
+        // Changes that begin after our revision would leave an undetected gap, and a state that is older than ours
+        // would restore keys that were deleted since.
         let applicable = received.after <= self.revision && received.revision >= self.revision;
         if applicable && received.full {
             let listed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
@@ -84,9 +84,9 @@
         changed
     }
 
-    /// Adopts the sender's grace period if the sender has had contact with the store without interruption: then it knows
-    /// best whether there was an outage, while our own calls may have failed for another reason. A sender without such
-    /// contact can only prolong the grace period.
+    /// Adopts the sender's grace period if the sender has had contact with the store without interruption: then it
+    /// knows best whether there was an outage, while our own calls may have failed for another reason. A sender without
+    /// such contact can only prolong the grace period.
     fn merge_grace_period(&mut self, received: &Changes, elapsed: Duration, now: Time) {
         let grace_until = now + Duration::from_millis(received.grace_ms);
         if received.age(elapsed).is_none_or(|age| age >= MAX_CURRENT_AGE) {
--- a/crates/store/tests/changes.rs
+++ b/crates/store/tests/changes.rs
@@ -91,9 +91,9 @@
     state.iter().map(|(key, (value, _))| (key, value)).collect()
 }
 
-/// Fault: messages arrive late, twice or from a mirror that is behind, mirrors restart empty, and the store compacts its
-/// history. A mirror must always equal the store's state at some revision, never go back to an earlier one, and never
-/// confirm a time at which the store had changes that it does not hold.
+/// Fault: messages arrive late, twice or from a mirror that is behind, mirrors restart empty, and the store compacts
+/// its history. A mirror must always equal the store's state at some revision, never go back to an earlier one, and
+/// never confirm a time at which the store had changes that it does not hold.
 #[test]
 fn mirrors_never_go_back_and_confirm_only_what_they_hold() {
     for seed in 0..2_000 {
@@ -196,8 +196,8 @@
     }
 }
 
-/// Fault: a daemon was partitioned from the store and takes that for an outage, so it keeps the missing keys for the grace
-/// period. The other daemons saw the deletion long ago and must not restore the key from its mirror.
+/// Fault: a daemon was partitioned from the store and takes that for an outage, so it keeps the missing keys for the
+/// grace period. The other daemons saw the deletion long ago and must not restore the key from its mirror.
 #[test]
 fn a_key_that_another_mirror_keeps_for_its_grace_period_is_not_restored() {
     let all = || vec![entry("a/1", "x", 3), entry("b/1", "y", 5)];
