--- a/crates/daemon/src/at_most_once.rs
+++ b/crates/daemon/src/at_most_once.rs
@@ -127,7 +127,7 @@
         Call::Write(expect) => write(context, order, &name, expect),
         Call::Read => read(context, &name),
         Call::Ask(claim, revision) => {
-            let word = peers::client::word(context, &claim.peer_address, claim.incarnation, order.key);
+            let word = peers::client::claim_status(context, &claim.peer_address, claim.incarnation, order.key);
             return Reply::Status(word, revision);
         }
     };
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -28,11 +28,11 @@
 use crate::driver::Driver;
 use crate::instance_list::{List, ServerEntries};
 use crate::metrics::Metrics;
-use crate::mirror::Learning;
+use crate::mirror::SyncState;
 use crate::peers;
 use crate::policies::ActivePolicy;
 use crate::response::Response;
-use crate::view::{Prepared, Preparing, Steering};
+use crate::view::{Inputs, RefreshState, Steering};
 
 /// Keys of sessions remembered at most.
 const SESSION_KEYS: usize = 65_536;
@@ -74,7 +74,7 @@
     /// A copy of the store's keys, if the platform keeps policy and backend servers there.
     pub mirror: Mutex<store::Mirror>,
     /// How that copy learns of changes.
-    pub mirror_sync: Learning,
+    pub mirror_sync: SyncState,
     /// What is known of backend servers beside the list of instances.
     pub catalog_state: Mutex<CatalogState>,
     /// The policy in force, with its copy for peers.
@@ -92,7 +92,7 @@
     /// What look-ups read.
     pub steering: RwLock<Arc<Steering>>,
     /// Held while the state is prepared, so that an older state never follows a newer one.
-    pub preparing: Mutex<Preparing>,
+    pub preparing: Mutex<RefreshState>,
     /// Instances in the platform's list.
     pub instance_list: Mutex<List>,
     /// Answers of backend servers that are being read.
@@ -151,7 +151,7 @@
             dialect: Arc::new(adapter.dialect),
             catalog: adapter.catalog,
             mirror: Mutex::new(store::Mirror::new()),
-            mirror_sync: Learning::new(),
+            mirror_sync: SyncState::new(),
             catalog_state: Mutex::new(CatalogState::default()),
             stall_detector: Mutex::new(stall::Detector::new(now)),
             clock,
@@ -162,11 +162,11 @@
             policy_replica: Mutex::new(Replica::new()),
             active_policy: RwLock::new(Arc::new(ActivePolicy::new(0, Policy::default()))),
             roster: Mutex::new(Roster::new(record, timeouts, incarnation)),
-            gossip_limiter: Mutex::new(peers::telling(now)),
+            gossip_limiter: Mutex::new(peers::gossip_limiter(now)),
             grant_manager: Mutex::new(Manager::new()),
             shift_controller: Mutex::new(Controller::new(0, kept, now)),
             steering: RwLock::new(Arc::new(Steering::default())),
-            preparing: Mutex::new(Preparing::default()),
+            preparing: Mutex::new(RefreshState::default()),
             instance_list: Mutex::new(List::default()),
             answer_memory: Budget::new(settings.dispatch.answers_bytes as usize),
             pool: Pool::new(),
@@ -203,8 +203,8 @@
     }
 
     /// What the prepared state rests on.
-    pub fn prepared(&self) -> Prepared {
-        lock(&self.preparing).rests_on
+    pub fn prepared(&self) -> Inputs {
+        lock(&self.preparing).inputs
     }
 
     /// Puts a prepared state in the place of the one before.
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -190,7 +190,7 @@
         }
         if !losses.is_empty() {
             crate::peers::spread_losses(context, &losses);
-            crate::peers::tell_urgent(context);
+            crate::peers::push_urgent(context);
         }
         self.changed.notify_one();
         result
--- a/crates/daemon/src/mirror/follow.rs
+++ b/crates/daemon/src/mirror/follow.rs
@@ -15,7 +15,7 @@
 use crate::peers::client;
 
 /// Longest time for which a question about changes is kept waiting.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(1);
+pub const MAX_WAIT: Duration = Duration::from_secs(1);
 /// The same at least.
 const SHORTEST_WAIT: Duration = Duration::from_millis(100);
 /// Time for the way and for a busy member.
@@ -71,13 +71,13 @@
             (mirror.revision(), mirror.age(sent).unwrap_or_default())
         };
         // A source that is stale itself must show it before our own knowledge is.
-        let wait = stale.saturating_sub(age).clamp(SHORTEST_WAIT, LONGEST_WAIT);
+        let wait = stale.saturating_sub(age).clamp(SHORTEST_WAIT, MAX_WAIT);
         let first = question(client, after, String::new(), wait).await?;
         let mut items = first.items.clone();
         let mut more = first.more;
         while more {
             let from = items.last().map(|item: &Item| item.key.clone()).unwrap_or_default();
-            let page = question(client, 0, from, LONGEST_WAIT).await?;
+            let page = question(client, 0, from, MAX_WAIT).await?;
             more = page.more && !page.items.is_empty();
             items.extend(page.items);
         }
@@ -91,7 +91,7 @@
         let address = address.ok_or_else(|| Unanswered::Silent("no address is known".to_owned()))?;
         let known = self.0.as_ref().is_some_and(|(known, at, _)| (known.as_str(), at) == (name, &address));
         if !known {
-            let client = client::client_with(&address, LONGEST_WAIT + SLACK);
+            let client = client::client_with_timeout(&address, MAX_WAIT + SLACK);
             let client = client.ok_or_else(|| Unanswered::Silent("no client".to_owned()))?;
             self.0 = Some((name.to_owned(), address, client));
         }
@@ -121,7 +121,7 @@
     let asked = context.now();
     let mut news = context.mirror_sync.news.subscribe();
     let confirmed = confirmed(context, asked);
-    let until = tokio::time::Instant::now() + wait.min(LONGEST_WAIT);
+    let until = tokio::time::Instant::now() + wait.min(MAX_WAIT);
     loop {
         let now = context.now();
         let told = lock(&context.mirror).changes(after, from, now)?;
--- a/crates/daemon/src/mirror/mod.rs
+++ b/crates/daemon/src/mirror/mod.rs
@@ -17,7 +17,7 @@
 use fleet::source::{Backoff, MAX_STALENESS, Source};
 use tokio::sync::{Notify, watch};
 
-pub use self::follow::{LONGEST_WAIT, changes};
+pub use self::follow::{MAX_WAIT, changes};
 pub use self::store::confirm;
 use crate::Context;
 use crate::adapter::Catalog;
@@ -48,7 +48,7 @@
 
 /// What the parts that keep the copy share.
 #[derive(Debug)]
-pub struct Learning {
+pub struct SyncState {
     /// Sources that were found silent or stale.
     avoided: std::sync::Mutex<Backoff>,
     /// Told when the copy has learnt something, or is known to hold all again.
@@ -59,7 +59,7 @@
     joined: watch::Sender<bool>,
 }
 
-impl Learning {
+impl SyncState {
     /// Nothing was learnt yet.
     pub fn new() -> Self {
         Self {
@@ -71,7 +71,7 @@
     }
 
     /// The other daemons are known, or no seed answers.
-    pub fn note_joined(&self) {
+    pub fn mark_joined(&self) {
         self.joined.send_replace(true);
     }
 
@@ -81,7 +81,7 @@
     }
 }
 
-impl Default for Learning {
+impl Default for SyncState {
     fn default() -> Self {
         Self::new()
     }
@@ -245,14 +245,14 @@
 }
 
 /// How long changes are gathered where `daemons` watch the store, each for itself.
-pub fn gather(daemons: usize) -> Duration {
+pub fn batch_delay(daemons: usize) -> Duration {
     GATHER_EACH.saturating_mul(daemons as u32).clamp(*GATHER.start(), *GATHER.end())
 }
 
 /// One daemon of each region watches.
 fn gathering(context: &Context) -> Duration {
     let regions: std::collections::BTreeSet<&String> = context.settings.domains.values().collect();
-    gather(regions.len())
+    batch_delay(regions.len())
 }
 
 fn note_failure(context: &Context, source: &Upstream, error: &Error) {
--- a/crates/daemon/src/mirror/publish.rs
+++ b/crates/daemon/src/mirror/publish.rs
@@ -43,7 +43,7 @@
     match policy.to_text() {
         Ok(text) => {
             if policies::apply(context, Document::new(revision, text), "store") {
-                peers::tell_revision(context);
+                peers::push_revision(context);
             }
         }
         Err(error) => log::warn!("policy: refused revision={revision} reason={:?}", error.to_string()),
--- a/crates/daemon/src/peers/api.rs
+++ b/crates/daemon/src/peers/api.rs
@@ -10,7 +10,7 @@
 
 /// What a daemon can say of a key it claimed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum ClaimStatus {
     /// It ran, and this was the answer.
     Ran(WireResponse),
     /// It runs now.
@@ -48,5 +48,9 @@
 
     /// What is known of the key with the hash `key`, in hexadecimal, by the incarnation that claimed it.
     #[method(name = "word")]
-    async fn word(&self, incarnation: u64, key: String) -> Result<Word, jsonrpsee::types::ErrorObjectOwned>;
+    async fn claim_status(
+        &self,
+        incarnation: u64,
+        key: String,
+    ) -> Result<ClaimStatus, jsonrpsee::types::ErrorObjectOwned>;
 }
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -5,7 +5,7 @@
 
 use jsonrpsee_http_client::{HttpClient, HttpClientBuilder};
 
-use super::api::{PeersClient as _, Word};
+use super::api::{ClaimStatus, PeersClient as _};
 use crate::Context;
 use crate::response::Response;
 
@@ -14,11 +14,11 @@
 
 /// A client of the peer at `address`.
 pub fn client(context: &Context, address: &str) -> Option<HttpClient> {
-    client_with(address, Duration::from_millis(context.settings.fleet.timeout_ms))
+    client_with_timeout(address, Duration::from_millis(context.settings.fleet.timeout_ms))
 }
 
 /// A client of the peer at `address` whose calls end within `timeout`.
-pub fn client_with(address: &str, timeout: Duration) -> Option<HttpClient> {
+pub fn client_with_timeout(address: &str, timeout: Duration) -> Option<HttpClient> {
     let builder = HttpClientBuilder::default().request_timeout(timeout).max_response_size(MAX_BYTES);
     match builder.build(format!("http://{address}")) {
         Ok(client) => Some(client),
@@ -30,7 +30,7 @@
 }
 
 /// What the daemon at `address` says of a key that its incarnation `incarnation` claimed. Blocks.
-pub fn word(
+pub fn claim_status(
     context: &Arc<Context>,
     address: &str,
     incarnation: u64,
@@ -40,18 +40,18 @@
     let Some(client) = client(context, address) else {
         return Known::Unknown;
     };
-    let asked = context.runtime.block_on(client.word(incarnation, format!("{key:032x}")));
+    let asked = context.runtime.block_on(client.claim_status(incarnation, format!("{key:032x}")));
     match asked {
-        Ok(Word::Ran(packed)) => match Response::try_from(packed) {
+        Ok(ClaimStatus::Ran(packed)) => match Response::try_from(packed) {
             Ok(whole) => Known::Ran(Arc::new(whole)),
             Err(error) => {
                 log::warn!("orders: claimant's answer not taken address={address} reason={error}");
                 Known::Unknown
             }
         },
-        Ok(Word::Running) => Known::Running,
-        Ok(Word::NeverRun) => Known::NeverRun,
-        Ok(Word::Unknown) => Known::Unknown,
+        Ok(ClaimStatus::Running) => Known::Running,
+        Ok(ClaimStatus::NeverRun) => Known::NeverRun,
+        Ok(ClaimStatus::Unknown) => Known::Unknown,
         Err(error) => {
             log::debug!("orders: claimant silent address={address} reason={:?}", error.to_string());
             Known::Unknown
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -28,7 +28,7 @@
 impl kernel::Component for Exchange {
     fn withdraw(&mut self) {
         lock(&self.1.roster).leave();
-        super::tell_leaving(&self.1);
+        super::push_departure(&self.1);
     }
 
     fn close(&mut self) {
@@ -40,7 +40,7 @@
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         join(&shared).await;
-        shared.mirror_sync.note_joined();
+        shared.mirror_sync.mark_joined();
         run(&shared).await;
     });
     Ok(Box::new(Exchange(task, Arc::clone(context))))
@@ -61,14 +61,14 @@
 }
 
 /// Takes in a peer's message and fetches its policy if that is newer.
-pub fn take(context: &Arc<Context>, message: &Message) {
+pub fn apply(context: &Arc<Context>, message: &Message) {
     let now = context.now();
     lock(&context.roster).merge(message, now);
     if !message.losses.is_empty() {
         let news = context.driver.with_engine_mut(context, |engine| engine.merge_losses(&message.losses, now));
         // A single loss is mostly a connection's own end; told at once by all to all, each one costs more than its request.
         if super::spread_losses(context, &news) {
-            super::tell_urgent(context);
+            super::push_urgent(context);
         }
     }
     super::spread_leaving(context, &message.leaving);
@@ -81,7 +81,7 @@
 }
 
 /// Sends `message` to one peer and takes in its answer.
-pub async fn with(context: &Arc<Context>, name: &str, address: &str, message: Message) {
+pub async fn send(context: &Arc<Context>, name: &str, address: &str, message: Message) {
     let Some(client) = client::client(context, address) else {
         return;
     };
@@ -89,7 +89,7 @@
         Ok(answer) => {
             context.metrics.exchanges.with_label_values(&["ok"]).inc();
             context.peer_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
-            take(context, &answer);
+            apply(context, &answer);
         }
         Err(error) => {
             context.metrics.exchanges.with_label_values(&["failed"]).inc();
@@ -108,7 +108,7 @@
     match client.policy(after).await {
         Ok(Some(copy)) => {
             if policies::apply(context, copy, address) {
-                super::tell_revision(context);
+                super::push_revision(context);
             }
         }
         Ok(None) => log::debug!("peers: policy skipped, not newer peer={address}"),
@@ -161,7 +161,7 @@
 /// Tells a peer that has just started itself that we are here, and asks it a moment later who else is: where all start
 /// together, each would take itself for the first one of its region.
 async fn meet(context: &Arc<Context>, seed: &str) {
-    with(context, seed, seed, message(context)).await;
+    send(context, seed, seed, message(context)).await;
     tokio::time::sleep(MEETING).await;
     let Some(client) = client::client(context, seed) else { return };
     match client.snapshot().await {
@@ -183,7 +183,7 @@
             roster.next_target(now)
         };
         if let Some((name, address)) = target {
-            with(context, &name, &address, message(context)).await;
+            send(context, &name, &address, message(context)).await;
         }
     }
 }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -22,12 +22,12 @@
 const TELLS_TOGETHER: f64 = 3.0;
 
 /// Bounds how often peers are told at once.
-pub const fn telling(now: Time) -> Bucket {
+pub const fn gossip_limiter(now: Time) -> Bucket {
     Bucket::new(TELLS_PER_SECOND, TELLS_TOGETHER, now)
 }
 
 /// Tells a few peers at once that a newer policy is in force here; they fetch it and tell others.
-pub fn tell_revision(context: &Arc<Context>) {
+pub fn push_revision(context: &Arc<Context>) {
     let fanout = context.settings.fleet.fanout as usize;
     tell(context, fanout);
 }
@@ -47,7 +47,7 @@
 
 /// Tells peers at once of losses and of servers that leave, so that they send nothing there either; when there are many
 /// they wait for the usual messages.
-pub fn tell_urgent(context: &Arc<Context>) {
+pub fn push_urgent(context: &Arc<Context>) {
     let now = context.now();
     if !lock(&context.gossip_limiter).take(1.0, now) {
         return;
@@ -71,11 +71,11 @@
     let mut roster = lock(&context.roster);
     news.iter().for_each(|server| roster.leaving_mut().add(*server, now));
     drop(roster);
-    tell_urgent(context);
+    push_urgent(context);
 }
 
 /// Tells as many peers as it takes for most to hear at once that we leave.
-pub fn tell_leaving(context: &Arc<Context>) {
+pub fn push_departure(context: &Arc<Context>) {
     tell(context, 2 * context.settings.fleet.fanout as usize);
 }
 
@@ -89,5 +89,5 @@
 fn send(context: &Arc<Context>, name: String, address: String, message: Message) {
     let context = Arc::clone(context);
     let runtime = context.runtime.clone();
-    runtime.spawn(async move { exchange::with(&context, &name, &address, message).await });
+    runtime.spawn(async move { exchange::send(&context, &name, &address, message).await });
 }
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -10,7 +10,7 @@
 use jsonrpsee::types::ErrorObjectOwned;
 use store::Changes;
 
-use super::api::{PeersServer, Word};
+use super::api::{ClaimStatus, PeersServer};
 use super::exchange;
 use crate::Context;
 use crate::at_most_once;
@@ -34,7 +34,7 @@
 #[async_trait]
 impl PeersServer for Calls {
     async fn exchange(&self, message: Message) -> Result<Message, ErrorObjectOwned> {
-        exchange::take(&self.context, &message);
+        exchange::apply(&self.context, &message);
         Ok(exchange::answer(&self.context, &message))
     }
 
@@ -56,16 +56,16 @@
         Ok(mirror::changes(&self.context, after, &from, Duration::from_millis(wait_ms)).await)
     }
 
-    async fn word(&self, incarnation: u64, key: String) -> Result<Word, ErrorObjectOwned> {
+    async fn claim_status(&self, incarnation: u64, key: String) -> Result<ClaimStatus, ErrorObjectOwned> {
         let key = u128::from_str_radix(&key, 16);
         let (Ok(key), true) = (key, incarnation == self.context.incarnation) else {
-            return Ok(Word::Unknown);
+            return Ok(ClaimStatus::Unknown);
         };
         Ok(match at_most_once::claim_status(&self.context, key) {
-            ledger::acquire::Status::Ran(whole) => Word::Ran(whole.as_ref().clone().into()),
-            ledger::acquire::Status::Running => Word::Running,
-            ledger::acquire::Status::NeverRun => Word::NeverRun,
-            ledger::acquire::Status::Unknown => Word::Unknown,
+            ledger::acquire::Status::Ran(whole) => ClaimStatus::Ran(whole.as_ref().clone().into()),
+            ledger::acquire::Status::Running => ClaimStatus::Running,
+            ledger::acquire::Status::NeverRun => ClaimStatus::NeverRun,
+            ledger::acquire::Status::Unknown => ClaimStatus::Unknown,
         })
     }
 }
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -127,7 +127,7 @@
 /// Called with the holder locked, so that policies come into force in the order of their revisions.
 fn put(context: &Arc<Context>, revision: u64, policy: Policy) {
     let next = ActivePolicy::replacing(&context.policy(), revision, policy);
-    view::adopt(context, Arc::new(next));
+    view::activate(context, Arc::new(next));
     context.metrics.policy_revision.set(revision as i64);
 }
 
--- a/crates/daemon/src/policy_poller.rs
+++ b/crates/daemon/src/policy_poller.rs
@@ -50,7 +50,7 @@
             context.store_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
             let text = String::from_utf8_lossy(&entry.value).into_owned();
             if policies::apply(context, Document::new(entry.revision, text), "store") {
-                peers::tell_revision(context);
+                peers::push_revision(context);
             }
         }
         Ok(None) => {
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -40,7 +40,7 @@
 
 /// What the prepared state rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Prepared {
+pub struct Inputs {
     /// Revision of the policy.
     pub revision: u64,
     /// Whether there was a policy.
@@ -58,9 +58,9 @@
 
 /// What preparing the state goes by and keeps from one time to the next.
 #[derive(Debug, Default)]
-pub struct Preparing {
+pub struct RefreshState {
     /// What the prepared state rests on.
-    pub rests_on: Prepared,
+    pub inputs: Inputs,
     basis: Option<Basis>,
     dealing: Dealing,
     /// Slots of the backend servers of each region.
@@ -83,7 +83,7 @@
 }
 
 /// Puts `next` into force once everything is prepared for it: what is decided by a policy finds its servers.
-pub fn adopt(context: &Arc<Context>, next: Arc<ActivePolicy>) {
+pub fn activate(context: &Arc<Context>, next: Arc<ActivePolicy>) {
     let mut preparing = lock(&context.preparing);
     if next.regions != context.policy().regions {
         let kept = Duration::from_millis(context.settings.callers.answer_kept_ms);
@@ -96,7 +96,7 @@
 }
 
 /// Time alone changes little: the list and the members are gone through only if they changed.
-fn prepare(context: &Arc<Context>, in_force: &ActivePolicy, preparing: &mut Preparing) {
+fn prepare(context: &Arc<Context>, in_force: &ActivePolicy, preparing: &mut RefreshState) {
     let now = context.now();
     let list = lock(&context.instance_list).clone();
     let roster = lock(&context.roster).digest();
@@ -117,11 +117,11 @@
         }
     });
     let policy = !in_force.policy.regions.is_empty();
-    preparing.rests_on = Prepared { revision: in_force.revision, policy, list: list.read_at.is_some() };
+    preparing.inputs = Inputs { revision: in_force.revision, policy, list: list.read_at.is_some() };
 }
 
 /// Goes through the list and the members; gives what dispatch needs of the servers.
-fn rebuild(context: &Context, in_force: &ActivePolicy, items: &[Item], preparing: &mut Preparing) -> Vec<Spec> {
+fn rebuild(context: &Context, in_force: &ActivePolicy, items: &[Item], preparing: &mut RefreshState) -> Vec<Spec> {
     let roster = lock(&context.roster).clone();
     let told = if context.catalog.is_some() { entries::members(&roster, in_force) } else { Vec::new() };
     let instances: Vec<&Instance> = items.iter().map(|item| &*item.instance).chain(&told).collect();
--- a/crates/daemon/tests/view.rs
+++ b/crates/daemon/tests/view.rs
@@ -179,6 +179,6 @@
 #[case::more(25, 500)]
 #[case::many(300, 500)]
 fn a_larger_fleet_gathers_changes_for_longer(#[case] daemons: usize, #[case] ms: u64) {
-    let gathered = daemon::mirror::gather(daemons);
+    let gathered = daemon::mirror::batch_delay(daemons);
     assert_eq!(gathered, Duration::from_millis(ms));
 }
