--- a/crates/daemon/src/mirror/check.rs
+++ b/crates/daemon/src/mirror/check.rs
@@ -1,7 +1,7 @@
-//! Checks that the copy still hears of changes, whoever tells them.
+//! Checks that the mirror still receives changes from its source.
 //!
-//! A daemon that watches the store asks it for its revision again and again: a watch that stalled shows no error. Any
-//! other asks only when nobody has confirmed its copy for too long.
+//! A daemon that watches the store polls the store's revision, since a stalled watch shows no error. Any other daemon
+//! asks the store only when its mirror was not confirmed to be complete for [`MAX_STALENESS`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,125 +10,127 @@
 use fleet::source::MAX_STALENESS;
 use store::{Error, Liveness};
 
-use super::{Turn, Upstream, gathering, note_failure, publish, store as direct, upstream};
+use super::{Outcome, Upstream, current_batch_delay, log_failure, publish, store as direct, upstream};
 use crate::Context;
 use crate::adapter::Catalog;
 use crate::context::lock;
 
-/// Longest sleep between two looks at whether a check is due.
-const LOOK: Duration = Duration::from_millis(500);
-/// Time between two looks at whether the watch has told what a check showed.
-const CATCHING_UP: Duration = Duration::from_millis(50);
-/// Pause after a check that failed, of a daemon that watches and of any other.
-const PAUSE: Duration = Duration::from_millis(300);
-const PAUSE_BEHIND: Duration = Duration::from_millis(1_500);
-/// Longest wait for changes that are known to be there.
-const FETCH: Duration = Duration::from_millis(50);
+/// Longest sleep before testing again whether a check is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Poll interval while the watch has yet to return a revision that a check has seen; also the shortest time between two
+/// successful checks of a daemon that does not watch.
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay after a failed check of a daemon that watches the store.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Average delay after a failed check of any other daemon.
+const FOLLOWER_RETRY_DELAY: Duration = Duration::from_millis(1_500);
+/// Longest wait for changes that the store is known to have.
+const FETCH_WAIT: Duration = Duration::from_millis(50);
 
-/// Checks for ever.
+/// Runs the checks until the task is aborted.
 pub async fn run(context: Arc<Context>, catalog: Catalog) {
     let period = Duration::from_millis(context.settings.platform.liveness_ms);
     let mut rng = fastrand::Rng::with_seed(context.incarnation ^ 2);
     let mut liveness = Liveness::new();
-    let mut next = context.now();
-    let mut before = false;
+    let mut next_check = context.now();
+    let mut was_watching = false;
     loop {
         let now = context.now();
-        tokio::time::sleep(sleep(&context, &liveness, before, next, now)).await;
-        let (known, age) = {
+        tokio::time::sleep(time_to_next(&context, &liveness, was_watching, next_check, now)).await;
+        let (revision, age) = {
             let mirror = lock(&context.mirror);
             (mirror.revision(), mirror.age(context.now()))
         };
         let now = context.now();
-        let watches = upstream(&context, false, now) == Upstream::Store;
-        if std::mem::replace(&mut before, watches) != watches {
-            context.mirror_sync.choose.notify_one();
+        let watching = upstream(&context, false, now) == Upstream::Store;
+        if std::mem::replace(&mut was_watching, watching) != watching {
+            context.mirror_sync.reselect.notify_one();
             liveness = Liveness::new();
         }
-        if known == 0 {
+        if revision == 0 {
             continue;
         }
-        if watches {
-            note_confirmed(&context, &liveness, known);
-            if liveness.check_overdue(known, now) {
-                stalled(&context, known);
+        if watching {
+            record_confirmation(&context, &liveness, revision);
+            if liveness.check_overdue(revision, now) {
+                restart_watch(&context, revision);
             }
         }
-        let due = now >= next && (watches || age.is_none_or(|age| age >= MAX_STALENESS));
+        let due = now >= next_check && (watching || age.is_none_or(|age| age >= MAX_STALENESS));
         if !due {
             continue;
         }
-        let done = if watches { ask(&context, &mut liveness).await } else { catch_up(&context, catalog).await };
-        let pause = match (done, watches) {
+        let result = if watching { check(&context, &mut liveness).await } else { catch_up(&context, catalog).await };
+        let delay = match (result, watching) {
             (Ok(()), true) => period,
-            (Ok(()), false) => CATCHING_UP,
-            (Err(_), true) => PAUSE,
-            (Err(_), false) => PAUSE_BEHIND.mul_f64(0.5 + rng.f64()),
+            (Ok(()), false) => CATCH_UP_INTERVAL,
+            (Err(_), true) => RETRY_DELAY,
+            (Err(_), false) => FOLLOWER_RETRY_DELAY.mul_f64(0.5 + rng.f64()),
         };
-        next = now + pause;
+        next_check = now + delay;
     }
 }
 
-/// How long there is nothing to do.
-fn sleep(context: &Context, liveness: &Liveness, watches: bool, next: Time, now: Time) -> Duration {
-    if watches {
-        let catching_up = if liveness.next_deadline().is_some() { CATCHING_UP } else { LOOK };
-        return next.since(now).min(catching_up);
+/// Returns the time until the next check may be due.
+fn time_to_next(context: &Context, liveness: &Liveness, watching: bool, next_check: Time, now: Time) -> Duration {
+    if watching {
+        let interval = if liveness.next_deadline().is_some() { CATCH_UP_INTERVAL } else { POLL_INTERVAL };
+        return next_check.since(now).min(interval);
     }
     let age = lock(&context.mirror).age(now).unwrap_or_default();
-    MAX_STALENESS.saturating_sub(age).max(next.since(now)).min(LOOK)
+    MAX_STALENESS.saturating_sub(age).max(next_check.since(now)).min(POLL_INTERVAL)
 }
 
-/// The watch hears nothing: it is asked anew, over a new connection.
-fn stalled(context: &Context, known: u64) {
-    log::warn!("mirror: watch stalled, asked anew revision={known}");
+/// Starts a stalled watch again over a new connection.
+fn restart_watch(context: &Context, revision: u64) {
+    log::warn!("mirror: watch stalled, starting it again revision={revision}");
     context.store.reconnect();
-    context.mirror_sync.choose.notify_one();
+    context.mirror_sync.reselect.notify_one();
 }
 
-/// Asks for the store's revision beside our watch.
-async fn ask(context: &Context, liveness: &mut Liveness) -> Result<(), Error> {
+/// Asks the store for its revision and compares it with what the watch has returned so far.
+async fn check(context: &Context, liveness: &mut Liveness) -> Result<(), Error> {
     let sent = context.now();
     match direct::revision(context).await {
         Ok(revision) => {
             let now = context.now();
             let known = lock(&context.mirror).revision();
-            if liveness.record_answer(revision, known, gathering(context), sent, now) {
-                stalled(context, known);
+            if liveness.record_answer(revision, known, current_batch_delay(context), sent, now) {
+                restart_watch(context, known);
             }
-            note_confirmed(context, liveness, known);
+            record_confirmation(context, liveness, known);
             Ok(())
         }
         Err(error) => {
-            note_failure(context, &Upstream::Store, &error);
+            log_failure(context, &Upstream::Store, &error);
             liveness.record_failure();
-            // The next one must not go over a connection that may be silent for good.
+            // The connection may never answer again, so the next check uses a new one.
             context.store.reconnect();
             Err(error)
         }
     }
 }
 
-/// Tells others once the copy is known to hold all that the last check showed.
-fn note_confirmed(context: &Context, liveness: &Liveness, known: u64) {
-    let Some(as_of) = liveness.confirmed(known) else { return };
+/// Marks the mirror as complete as of the last check if it has reached that check's revision, and notifies followers.
+fn record_confirmation(context: &Context, liveness: &Liveness, revision: u64) {
+    let Some(as_of) = liveness.confirmed(revision) else { return };
     if lock(&context.mirror).confirm(as_of) {
-        context.mirror_sync.tell();
+        context.mirror_sync.notify();
     }
 }
 
-/// Asks the store itself for what our source may not have told.
+/// Fetches from the store itself the changes that the source may have missed.
 async fn catch_up(context: &Arc<Context>, catalog: Catalog) -> Result<(), Error> {
     let sent = context.now();
-    let caught = async {
+    let fetch = async {
         let revision = direct::revision(context).await?;
         let mut changed = false;
         if lock(&context.mirror).revision() < revision {
-            let turn = match direct::changes_within(context, FETCH).await? {
-                Turn::Forgotten => direct::list(context).await?,
-                turn => turn,
+            let outcome = match direct::changes_within(context, FETCH_WAIT).await? {
+                Outcome::Compacted => direct::list(context).await?,
+                outcome => outcome,
             };
-            changed = matches!(turn, Turn::Changed);
+            changed = matches!(outcome, Outcome::Changed);
         }
         let mut mirror = lock(&context.mirror);
         if mirror.revision() >= revision {
@@ -136,16 +138,16 @@
         }
         Ok(changed)
     };
-    match caught.await {
+    match fetch.await {
         Ok(changed) => {
             if changed {
                 publish::publish(context, catalog);
             }
-            context.mirror_sync.tell();
+            context.mirror_sync.notify();
             Ok(())
         }
         Err(error) => {
-            note_failure(context, &Upstream::Store, &error);
+            log_failure(context, &Upstream::Store, &error);
             context.store.reconnect();
             Err(error)
         }
--- a/crates/daemon/src/mirror/follow.rs
+++ b/crates/daemon/src/mirror/follow.rs
@@ -1,4 +1,4 @@
-//! Learning from another daemon's copy, and telling others from ours.
+//! Follows another daemon's mirror, and serves this daemon's mirror to its followers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,132 +8,148 @@
 use store::changes::{Changes, Item};
 use store::{Error, Result};
 
-use super::{STARTING, Turn};
+use super::{Outcome, STARTUP_GRACE};
 use crate::Context;
 use crate::context::lock;
 use crate::peers::api::PeersClient as _;
 use crate::peers::client;
 
-/// Longest time for which a question about changes is kept waiting.
+/// Longest time for which a request for changes is held until there are some.
 pub const MAX_WAIT: Duration = Duration::from_secs(1);
-/// The same at least.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
-/// Time for the way and for a busy member.
-const SLACK: Duration = Duration::from_millis(300);
+/// Shortest time that a follower asks for.
+const MIN_WAIT: Duration = Duration::from_millis(100);
+/// Time allowed on top of the wait for the network and for a busy member.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Why a member told nothing.
-enum Unanswered {
-    /// It has no copy yet.
-    Starting,
+/// Why a member returned no changes.
+enum Failure {
+    /// Its mirror is still empty.
+    EmptyMirror,
     /// It did not answer.
-    Silent(String),
+    NoAnswer(String),
 }
 
-/// The member that is followed, with a client of it.
+/// A client of the member that is followed.
+#[derive(Debug)]
+struct Connection {
+    name: String,
+    address: String,
+    client: HttpClient,
+}
+
+/// Follows one member at a time.
 #[derive(Debug, Default)]
-pub struct Following(Option<(String, String, HttpClient)>);
+pub struct Follower(Option<Connection>);
 
-impl Following {
-    /// Asks the member `name` for what is new and takes it in; a member that is silent, or whose own knowledge is
-    /// `stale`, is avoided for a while.
-    pub async fn turn(&mut self, context: &Context, name: &str, stale: Duration) -> Result<Turn> {
-        let asked = self.ask(context, name, stale).await;
+impl Follower {
+    /// Requests changes from the member `name` and merges them into the mirror. A member that does not answer, or after
+    /// whose answer the mirror's age is still `stale_after` or more, is avoided for a while.
+    pub async fn poll(&mut self, context: &Context, name: &str, stale_after: Duration) -> Result<Outcome> {
+        let fetched = self.fetch(context, name, stale_after).await;
         let now = context.now();
-        let result = match asked {
-            Ok(turn) => {
+        let result = match fetched {
+            Ok(outcome) => {
                 let age = lock(&context.mirror).age(now);
-                if age.is_some_and(|age| age < stale) {
-                    return Ok(turn);
+                if age.is_some_and(|age| age < stale_after) {
+                    return Ok(outcome);
                 }
-                // What it told is taken in all the same: an old picture is better than none.
-                log::info!("mirror: source is behind name={name} age_ms={:?}", age.map(|age| age.as_millis()));
-                Ok(turn)
+                // The changes are merged all the same: stale knowledge is better than none.
+                log::info!("mirror: source is stale name={name} age_ms={:?}", age.map(|age| age.as_millis()));
+                Ok(outcome)
             }
-            Err(Unanswered::Starting) if context.settings.fleet.first_start && context.uptime() < STARTING => {
-                tokio::time::sleep(SHORTEST_WAIT).await;
-                return Ok(Turn::Same);
+            Err(Failure::EmptyMirror) if context.settings.fleet.first_start && context.uptime() < STARTUP_GRACE => {
+                tokio::time::sleep(MIN_WAIT).await;
+                return Ok(Outcome::Unchanged);
             }
-            Err(Unanswered::Starting) => Err(Error::Unreachable("it knows nothing yet".to_owned())),
-            Err(Unanswered::Silent(reason)) => {
+            Err(Failure::EmptyMirror) => Err(Error::Unreachable("the member's mirror is still empty".to_owned())),
+            Err(Failure::NoAnswer(reason)) => {
                 self.0 = None;
                 Err(Error::Unreachable(reason))
             }
         };
-        lock(&context.mirror_sync.avoided).record_failure(name, now);
+        lock(&context.mirror_sync.backoff).record_failure(name, now);
         result
     }
 
-    async fn ask(&mut self, context: &Context, name: &str, stale: Duration) -> std::result::Result<Turn, Unanswered> {
+    async fn fetch(
+        &mut self,
+        context: &Context,
+        name: &str,
+        stale_after: Duration,
+    ) -> std::result::Result<Outcome, Failure> {
         let client = self.client(context, name)?;
         let sent = context.now();
         let (after, age) = {
             let mirror = lock(&context.mirror);
             (mirror.revision(), mirror.age(sent).unwrap_or_default())
         };
-        // A source that is stale itself must show it before our own knowledge is.
-        let wait = stale.saturating_sub(age).clamp(SHORTEST_WAIT, MAX_WAIT);
-        let first = question(client, after, String::new(), wait).await?;
+        // The answer must come before this daemon's own knowledge is stale, so that a stale source is noticed in time.
+        let wait = stale_after.saturating_sub(age).clamp(MIN_WAIT, MAX_WAIT);
+        let first = request(client, after, String::new(), wait).await?;
         let mut items = first.items.clone();
         let mut more = first.more;
         while more {
             let from = items.last().map(|item: &Item| item.key.clone()).unwrap_or_default();
-            let page = question(client, 0, from, MAX_WAIT).await?;
+            let page = request(client, 0, from, MAX_WAIT).await?;
             more = page.more && !page.items.is_empty();
             items.extend(page.items);
         }
         let now = context.now();
         let changed = lock(&context.mirror).merge(&first, items, sent, now);
-        Ok(if changed || after == 0 { Turn::Changed } else { Turn::Same })
+        Ok(if changed || after == 0 { Outcome::Changed } else { Outcome::Unchanged })
     }
 
-    fn client(&mut self, context: &Context, name: &str) -> std::result::Result<&HttpClient, Unanswered> {
+    /// Returns the client of the member `name`; creates it if the member or its address is another one than before.
+    fn client(&mut self, context: &Context, name: &str) -> std::result::Result<&HttpClient, Failure> {
         let address = lock(&context.roster).address(name).map(str::to_owned);
-        let address = address.ok_or_else(|| Unanswered::Silent("no address is known".to_owned()))?;
-        let known = self.0.as_ref().is_some_and(|(known, at, _)| (known.as_str(), at) == (name, &address));
-        if !known {
-            let client = client::client_with_timeout(&address, MAX_WAIT + SLACK);
-            let client = client.ok_or_else(|| Unanswered::Silent("no client".to_owned()))?;
-            self.0 = Some((name.to_owned(), address, client));
+        let address = address.ok_or_else(|| Failure::NoAnswer("the member's address is unknown".to_owned()))?;
+        let connected = self.0.as_ref().is_some_and(|known| known.name == name && known.address == address);
+        if !connected {
+            let client = client::client_with_timeout(&address, MAX_WAIT + RESPONSE_MARGIN);
+            let client = client.ok_or_else(|| Failure::NoAnswer("cannot create a client".to_owned()))?;
+            self.0 = Some(Connection { name: name.to_owned(), address, client });
         }
-        let client = self.0.as_ref().map(|(_, _, client)| client);
-        client.ok_or_else(|| Unanswered::Silent("no client".to_owned()))
+        let client = self.0.as_ref().map(|connection| &connection.client);
+        client.ok_or_else(|| Failure::NoAnswer("cannot create a client".to_owned()))
     }
 }
 
-async fn question(
+async fn request(
     client: &HttpClient,
     after: u64,
     from: String,
     wait: Duration,
-) -> std::result::Result<Changes, Unanswered> {
-    let asked = client.changes(after, from, wait.as_millis() as u64);
-    match tokio::time::timeout(wait + SLACK, asked).await {
+) -> std::result::Result<Changes, Failure> {
+    let call = client.changes(after, from, wait.as_millis() as u64);
+    match tokio::time::timeout(wait + RESPONSE_MARGIN, call).await {
         Ok(Ok(Some(changes))) => Ok(changes),
-        Ok(Ok(None)) => Err(Unanswered::Starting),
-        Ok(Err(error)) => Err(Unanswered::Silent(error.to_string())),
-        Err(_) => Err(Unanswered::Silent("no answer in time".to_owned())),
+        Ok(Ok(None)) => Err(Failure::EmptyMirror),
+        Ok(Err(error)) => Err(Failure::NoAnswer(error.to_string())),
+        Err(_) => Err(Failure::NoAnswer("no answer in time".to_owned())),
     }
 }
 
-/// What our copy knows beyond the revision `after`, once there is something, or once it is known anew to hold all, or
-/// after `wait`; a page of all keys behind `from` at once if that is named.
+/// Returns the changes after the revision `after`, or a page of all keys that follow the key `from` if that is not empty.
+///
+/// Waits until there is a change or the mirror is confirmed again to be complete, for at most `wait`; a page is returned
+/// at once. `None` if the mirror is empty.
 pub async fn changes(context: &Arc<Context>, after: u64, from: &str, wait: Duration) -> Option<Changes> {
     let asked = context.now();
-    let mut news = context.mirror_sync.news.subscribe();
-    let confirmed = confirmed(context, asked);
-    let until = tokio::time::Instant::now() + wait.min(MAX_WAIT);
+    let mut updates = context.mirror_sync.updates.subscribe();
+    let confirmed = confirmed_at(context, asked);
+    let deadline = tokio::time::Instant::now() + wait.min(MAX_WAIT);
     loop {
         let now = context.now();
-        let told = lock(&context.mirror).changes(after, from, now)?;
-        let new = told.revision > after || !from.is_empty() || self::confirmed(context, now) > confirmed;
-        let waited = tokio::time::timeout_at(until, news.changed());
-        if new || waited.await.is_err() {
-            return Some(Changes { waited_ms: context.now().since(asked).as_millis() as u64, ..told });
+        let changes = lock(&context.mirror).changes(after, from, now)?;
+        let is_new = changes.revision > after || !from.is_empty() || confirmed_at(context, now) > confirmed;
+        let update = tokio::time::timeout_at(deadline, updates.changed());
+        if is_new || update.await.is_err() {
+            return Some(Changes { waited_ms: context.now().since(asked).as_millis() as u64, ..changes });
         }
     }
 }
 
-/// When our copy was last known to hold all.
-fn confirmed(context: &Context, now: Time) -> Option<Time> {
+/// Returns when the mirror was last known to be complete.
+fn confirmed_at(context: &Context, now: Time) -> Option<Time> {
     lock(&context.mirror).age(now).map(|age| now - age)
 }
--- a/crates/daemon/src/mirror/mod.rs
+++ b/crates/daemon/src/mirror/mod.rs
@@ -1,6 +1,6 @@
-//! Keeps a copy of the platform's store and puts what it says into force.
+//! Keeps a mirror of the platform's store and applies the policy and the servers that it lists.
 //!
-//! The copy learns of changes from the store itself or from another daemon's copy, as [`fleet::source`] says.
+//! The mirror receives changes from the store itself or from another daemon's mirror; [`fleet::source`] chooses which.
 
 mod check;
 mod follow;
@@ -24,60 +24,61 @@
 use crate::context::lock;
 use crate::plugin::Plugin;
 
-/// Longest wait at a start for the other daemons to be known.
-const JOINING: Duration = Duration::from_millis(700);
-/// Time after a start in which a source that knows nothing yet is asked again: it may have started with us.
-const STARTING: Duration = Duration::from_secs(2);
-/// Members that are asked for a first copy.
-const ASKED: usize = 4;
-/// First pause after a call that failed; it doubles with each one in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause after calls that failed.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// The same for a daemon that has a copy and would follow another one if the store were there.
-const LONGEST_PAUSE_BEHIND: Duration = Duration::from_millis(1_500);
-/// Time in which further changes are left to come before the next watch, so that one call tells several: for each
-/// daemon that watches, so that all of them together make 50 calls a second at most while the store changes all the time.
-const GATHER_EACH: Duration = Duration::from_millis(20);
-/// The same at least, and at most: a change must be in force within seconds.
-const GATHER: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_millis(500);
+/// Longest wait at startup for the other daemons to become known.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time after startup in which a source whose mirror is still empty is polled again rather than avoided if all daemons
+/// start now (`fleet.first_start`).
+const STARTUP_GRACE: Duration = Duration::from_secs(2);
+/// Maximum number of members that are asked for an initial copy.
+const MAX_BOOTSTRAP_MEMBERS: usize = 4;
+/// Delay after a failed call; it doubles with each consecutive failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Upper bound of the delay after failed calls.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// The same for a daemon that asks the store only because the member that it would follow is avoided.
+const MAX_FOLLOWER_RETRY_DELAY: Duration = Duration::from_millis(1_500);
+/// Delay before the next watch per watching daemon, so that one call returns several changes. With 20 ms each, all
+/// watching daemons together make at most 50 calls a second while the store changes all the time.
+const BATCH_DELAY_PER_WATCHER: Duration = Duration::from_millis(20);
+/// Bounds of the delay before the next watch; the upper one exists since a change must be in force within seconds.
+const BATCH_DELAY: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_millis(500);
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "mirror", stage: 30, start })
 }
 
-/// What the parts that keep the copy share.
+/// State shared by the tasks that keep the mirror current.
 #[derive(Debug)]
 pub struct SyncState {
-    /// Sources that were found silent or stale.
-    avoided: std::sync::Mutex<Backoff>,
-    /// Told when the copy has learnt something, or is known to hold all again.
-    news: watch::Sender<()>,
-    /// Told when the source should be chosen anew.
-    choose: Notify,
-    /// Whether the other daemons are known, as far as a seed could tell.
+    /// Sources that are avoided for a while because they were silent or stale.
+    backoff: std::sync::Mutex<Backoff>,
+    /// Notified when the mirror changed or was confirmed to be complete again.
+    updates: watch::Sender<()>,
+    /// Notified when the source should be selected again.
+    reselect: Notify,
+    /// Whether joining has finished: a seed has named the other daemons, or no seed answered.
     joined: watch::Sender<bool>,
 }
 
 impl SyncState {
-    /// Nothing was learnt yet.
+    /// Returns the state of a daemon whose mirror is still empty.
     pub fn new() -> Self {
         Self {
-            avoided: std::sync::Mutex::default(),
-            news: watch::Sender::new(()),
-            choose: Notify::new(),
+            backoff: std::sync::Mutex::default(),
+            updates: watch::Sender::new(()),
+            reselect: Notify::new(),
             joined: watch::Sender::new(false),
         }
     }
 
-    /// The other daemons are known, or no seed answers.
+    /// Marks joining as finished: the other daemons are known, or no seed answered.
     pub fn mark_joined(&self) {
         self.joined.send_replace(true);
     }
 
-    /// Tells those that wait that the copy has learnt something.
-    fn tell(&self) {
-        self.news.send_replace(());
+    /// Wakes the members' requests that wait for the mirror to change or to be confirmed.
+    fn notify(&self) {
+        self.updates.send_replace(());
     }
 }
 
@@ -99,165 +100,170 @@
     let Some(catalog) = context.catalog else {
         return Ok(Box::new(kernel::Idle));
     };
-    let learning = context.runtime.spawn(learn(Arc::clone(context), catalog));
-    let checking = context.runtime.spawn(check::run(Arc::clone(context), catalog));
-    let turning = context.runtime.spawn(publish::turn(Arc::clone(context), catalog));
-    Ok(Box::new(Tasks(vec![learning, checking, turning])))
+    let sync = context.runtime.spawn(sync(Arc::clone(context), catalog));
+    let liveness = context.runtime.spawn(check::run(Arc::clone(context), catalog));
+    let refresh = context.runtime.spawn(publish::run(Arc::clone(context), catalog));
+    Ok(Box::new(Tasks(vec![sync, liveness, refresh])))
 }
 
-/// What a question came to.
-enum Turn {
+/// Result of one request for changes.
+enum Outcome {
     Changed,
-    Same,
-    Forgotten,
+    Unchanged,
+    /// The store no longer has the history from the mirror's revision on; all keys have to be listed.
+    Compacted,
 }
 
-/// Where the copy learns from now: the store, or a member by name.
+/// Where the mirror receives changes from: the store, or a member by name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Upstream {
     Store,
-    Member { name: String, stale: Duration },
+    Member { name: String, stale_after: Duration },
 }
 
-/// The source to learn from at `now`, those found silent or stale left out unless `all` are asked for.
-fn upstream(context: &Context, all: bool, now: Time) -> Upstream {
+/// Selects the source at `now`, without the members that are avoided as silent or stale unless `include_avoided` is set.
+fn upstream(context: &Context, include_avoided: bool, now: Time) -> Upstream {
     let settings = &context.settings;
     let roster = lock(&context.roster);
-    let avoided = lock(&context.mirror_sync.avoided);
+    let backoff = lock(&context.mirror_sync.backoff);
     let in_region = |domain: &str| settings.domains.get(domain) == Some(&settings.region);
     let region: BTreeMap<&str, &str> = roster
         .responsive_members()
         .filter(|(name, domain)| *name == settings.instance || in_region(domain))
-        .filter(|(name, _)| all || *name == settings.instance || !avoided.is_active(name, now))
+        .filter(|(name, _)| include_avoided || *name == settings.instance || !backoff.is_active(name, now))
         .collect();
     let source = fleet::source::choose(&settings.instance, &region);
     match source {
         Source::Store => Upstream::Store,
         Source::RegionLeader(name) | Source::DomainLeader(name) => {
-            Upstream::Member { name: name.to_owned(), stale: source.stale_after() }
+            Upstream::Member { name: name.to_owned(), stale_after: source.stale_after() }
         }
     }
 }
 
-/// Learns of changes as they come, for ever.
-async fn learn(context: Arc<Context>, catalog: Catalog) {
-    let mut forgotten = false;
-    let mut pause = FIRST_PAUSE;
+/// Applies changes from the current source as they come; runs until the task is aborted.
+async fn sync(context: Arc<Context>, catalog: Catalog) {
+    let mut compacted = false;
+    let mut retry_delay = MIN_RETRY_DELAY;
     let mut rng = fastrand::Rng::with_seed(context.incarnation);
-    let mut following = follow::Following::default();
-    let mut before = None;
-    begin(&context, catalog, &mut following).await;
+    let mut follower = follow::Follower::default();
+    let mut previous = None;
+    bootstrap(&context, catalog, &mut follower).await;
     loop {
         let source = upstream(&context, false, context.now());
-        if before.as_ref() != Some(&source) {
-            log::info!("mirror: learns from source={}", name(&source));
-            before = Some(source.clone());
+        if previous.as_ref() != Some(&source) {
+            log::info!("mirror: source selected source={}", source_name(&source));
+            previous = Some(source.clone());
         }
-        let turn = match &source {
-            Upstream::Store if forgotten || lock(&context.mirror).revision() == 0 => store::list(&context).await,
+        let outcome = match &source {
+            Upstream::Store if compacted || lock(&context.mirror).revision() == 0 => store::list(&context).await,
             Upstream::Store => store::changes(&context).await,
-            Upstream::Member { name, stale } => following.turn(&context, name, *stale).await,
+            Upstream::Member { name, stale_after } => follower.poll(&context, name, *stale_after).await,
         };
-        match turn {
-            Ok(Turn::Changed) => {
-                (forgotten, pause) = (false, FIRST_PAUSE);
+        match outcome {
+            Ok(Outcome::Changed) => {
+                (compacted, retry_delay) = (false, MIN_RETRY_DELAY);
                 publish::publish(&context, catalog);
-                context.mirror_sync.tell();
+                context.mirror_sync.notify();
                 if source == Upstream::Store {
-                    tokio::time::sleep(gathering(&context)).await;
+                    tokio::time::sleep(current_batch_delay(&context)).await;
                 }
             }
-            Ok(Turn::Same) => {
-                (forgotten, pause) = (false, FIRST_PAUSE);
-                context.mirror_sync.tell();
+            Ok(Outcome::Unchanged) => {
+                (compacted, retry_delay) = (false, MIN_RETRY_DELAY);
+                context.mirror_sync.notify();
             }
-            Ok(Turn::Forgotten) => {
-                log::info!("mirror: history forgotten by the store, listing anew");
-                forgotten = true;
+            Ok(Outcome::Compacted) => {
+                log::info!("mirror: history compacted by the store, listing all keys");
+                compacted = true;
             }
             Err(error) => {
-                note_failure(&context, &source, &error);
-                let behind = upstream(&context, true, context.now()) != Upstream::Store;
-                let longest = if behind && source == Upstream::Store { LONGEST_PAUSE_BEHIND } else { LONGEST_PAUSE };
-                let member = source != Upstream::Store;
-                let waited = if member { FIRST_PAUSE / 10 } else { pause.mul_f64(0.5 + rng.f64()) };
-                tokio::time::sleep(waited).await;
-                if lock(&context.mirror).revision() == 0 && ask_anyone(&context, &mut following).await {
+                log_failure(&context, &source, &error);
+                let is_follower = upstream(&context, true, context.now()) != Upstream::Store;
+                let max_delay =
+                    if is_follower && source == Upstream::Store { MAX_FOLLOWER_RETRY_DELAY } else { MAX_RETRY_DELAY };
+                let from_member = source != Upstream::Store;
+                let delay = if from_member { MIN_RETRY_DELAY / 10 } else { retry_delay.mul_f64(0.5 + rng.f64()) };
+                tokio::time::sleep(delay).await;
+                if lock(&context.mirror).revision() == 0 && copy_from_any_member(&context, &mut follower).await {
                     publish::publish(&context, catalog);
-                    context.mirror_sync.tell();
+                    context.mirror_sync.notify();
                 }
-                pause = if member { pause } else { (pause * 2).min(longest) };
+                retry_delay = if from_member { retry_delay } else { (retry_delay * 2).min(max_delay) };
             }
         }
     }
 }
 
-/// Gets the first copy: callers wait for it, so the store and a peer are asked at the same time, unless all daemons start
-/// now.
-async fn begin(context: &Arc<Context>, catalog: Catalog, following: &mut follow::Following) {
-    let from_peer = async {
+/// Loads the initial copy. Callers wait for it, so the store and the members are asked at the same time. If all daemons
+/// start now, no member has a copy yet, and this only waits for joining.
+async fn bootstrap(context: &Arc<Context>, catalog: Catalog, follower: &mut follow::Follower) {
+    let from_member = async {
         let mut joined = context.mirror_sync.joined.subscribe();
-        if tokio::time::timeout(JOINING, joined.wait_for(|joined| *joined)).await.is_err() {
-            log::info!("mirror: does not wait for peers any longer");
+        if tokio::time::timeout(JOIN_TIMEOUT, joined.wait_for(|joined| *joined)).await.is_err() {
+            log::info!("mirror: stopped waiting for this daemon to join its peers");
         }
-        !context.settings.fleet.first_start && ask_anyone(context, following).await
+        !context.settings.fleet.first_start && copy_from_any_member(context, follower).await
     };
     if context.settings.fleet.first_start {
-        from_peer.await;
+        from_member.await;
         return;
     }
     let from_store = async { store::list(context).await.is_ok() };
-    tokio::pin!(from_peer, from_store);
-    let got = tokio::select! {
-        got = &mut from_store => got || from_peer.await,
-        got = &mut from_peer => got || from_store.await,
+    tokio::pin!(from_member, from_store);
+    let loaded = tokio::select! {
+        loaded = &mut from_store => loaded || from_member.await,
+        loaded = &mut from_member => loaded || from_store.await,
     };
-    if got {
+    if loaded {
         publish::publish(context, catalog);
-        context.mirror_sync.tell();
+        context.mirror_sync.notify();
     }
 }
 
-/// Takes the copy of the first member that has one, however old: the store may answer nobody, and our own place may be
-/// the one that others learn from.
-async fn ask_anyone(context: &Context, following: &mut follow::Following) -> bool {
+/// Copies the mirror of the first member that has one, however old it is, and returns whether one was found.
+///
+/// The store may not answer at all, and this daemon itself may be the one that the other members follow. Members of its
+/// own region are asked first.
+async fn copy_from_any_member(context: &Context, follower: &mut follow::Follower) -> bool {
     let mut members: Vec<(bool, String)> = {
         let roster = lock(&context.roster);
-        let far = |domain: &str| context.settings.domains.get(domain) != Some(&context.settings.region);
+        let remote = |domain: &str| context.settings.domains.get(domain) != Some(&context.settings.region);
         let others = roster.responsive_members().filter(|(name, _)| *name != context.settings.instance);
-        others.map(|(name, domain)| (far(domain), name.to_owned())).collect()
+        others.map(|(name, domain)| (remote(domain), name.to_owned())).collect()
     };
     fastrand::Rng::with_seed(context.incarnation).shuffle(&mut members);
-    members.sort_by_key(|(far, _)| *far);
-    for (_, name) in members.into_iter().take(ASKED) {
-        if following.turn(context, &name, MAX_STALENESS).await.is_ok_and(|turn| matches!(turn, Turn::Changed)) {
+    members.sort_by_key(|(remote, _)| *remote);
+    for (_, name) in members.into_iter().take(MAX_BOOTSTRAP_MEMBERS) {
+        let outcome = follower.poll(context, &name, MAX_STALENESS).await;
+        if outcome.is_ok_and(|outcome| matches!(outcome, Outcome::Changed)) {
             return true;
         }
     }
     false
 }
 
-fn name(source: &Upstream) -> &str {
+fn source_name(source: &Upstream) -> &str {
     match source {
         Upstream::Store => "store",
         Upstream::Member { name, .. } => name,
     }
 }
 
-/// How long changes are gathered where `daemons` watch the store, each for itself.
-pub fn batch_delay(daemons: usize) -> Duration {
-    GATHER_EACH.saturating_mul(daemons as u32).clamp(*GATHER.start(), *GATHER.end())
+/// Returns the delay before the next watch when `watchers` daemons watch the store, each for itself.
+pub fn batch_delay(watchers: usize) -> Duration {
+    BATCH_DELAY_PER_WATCHER.saturating_mul(watchers as u32).clamp(*BATCH_DELAY.start(), *BATCH_DELAY.end())
 }
 
-/// One daemon of each region watches.
-fn gathering(context: &Context) -> Duration {
+/// Returns the batch delay for the current regions: one daemon of each region watches.
+fn current_batch_delay(context: &Context) -> Duration {
     let regions: std::collections::BTreeSet<&String> = context.settings.domains.values().collect();
     batch_delay(regions.len())
 }
 
-fn note_failure(context: &Context, source: &Upstream, error: &Error) {
+fn log_failure(context: &Context, source: &Upstream, error: &Error) {
     let now = context.now();
     let age = lock(&context.mirror).age(now).map_or(-1, |age| age.as_millis() as i64);
-    let source = name(source);
-    log::warn!("mirror: question failed source={source} knowledge_ms={age} reason={:?}", error.to_string());
+    let source = source_name(source);
+    log::warn!("mirror: request failed source={source} knowledge_ms={age} reason={:?}", error.to_string());
 }
--- a/crates/daemon/src/mirror/publish.rs
+++ b/crates/daemon/src/mirror/publish.rs
@@ -1,4 +1,4 @@
-//! Puts what the copy of the store says into force.
+//! Applies the policy and the servers that the mirror of the store holds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use crate::context::lock;
 use crate::{Context, peers, policies, view};
 
-/// Time between two looks at what time alone changes: memberships, keys that did not come back.
-const TURN: Duration = Duration::from_millis(250);
+/// Time between updates for what changes with time alone: memberships, and missing keys whose grace time has passed.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Puts what the copy says into force.
+/// Applies the policy and the servers that the mirror holds now; logs each reason for a skipped entry once.
 pub fn publish(context: &Arc<Context>, catalog: Catalog) {
-    let known = lock(&context.policy_replica).revision();
-    let read = (catalog.read_policy)(&lock(&context.mirror), &context.settings, known);
+    let active = lock(&context.policy_replica).revision();
+    let read = (catalog.read_policy)(&lock(&context.mirror), &context.settings, active);
     match read {
-        Ok(Some(revised)) => offer(context, revised),
+        Ok(Some(update)) => apply_policy(context, update),
         Ok(None) => {}
         Err(reason) => {
             if lock(&context.catalog_state).policy_error.replace(reason.clone()) != Some(reason.clone()) {
@@ -26,20 +26,20 @@
             }
         }
     }
-    let mut known = lock(&context.catalog_state);
-    let (items, refused) = known.entries.read(&lock(&context.mirror), catalog, &context.settings);
-    let news = refused.iter().filter(|reason| !known.entries_passed_over.contains(*reason));
-    news.for_each(|reason| log::warn!("mirror: entry passed over reason={reason:?}"));
-    context.metrics.servers_passed_over.set(refused.len() as i64);
-    known.entries_passed_over = refused;
-    drop(known);
+    let mut state = lock(&context.catalog_state);
+    let (items, reasons) = state.entries.read(&lock(&context.mirror), catalog, &context.settings);
+    let new_reasons = reasons.iter().filter(|reason| !state.entries_passed_over.contains(*reason));
+    new_reasons.for_each(|reason| log::warn!("mirror: server entry ignored reason={reason:?}"));
+    context.metrics.servers_passed_over.set(reasons.len() as i64);
+    state.entries_passed_over = reasons;
+    drop(state);
     lock(&context.instance_list).replace(items, context.now());
     view::refresh(context);
 }
 
-/// Puts a policy that was read from the store into force, and tells of what was passed over in it.
-fn offer(context: &Arc<Context>, revised: PolicyUpdate) {
-    let PolicyUpdate { revision, policy, passed_over } = revised;
+/// Applies a policy that was read from the store; logs each reason why something in it was ignored once.
+fn apply_policy(context: &Arc<Context>, update: PolicyUpdate) {
+    let PolicyUpdate { revision, policy, passed_over } = update;
     match policy.to_text() {
         Ok(text) => {
             if policies::apply(context, Document::new(revision, text), "store") {
@@ -49,20 +49,20 @@
         Err(error) => log::warn!("policy: refused revision={revision} reason={:?}", error.to_string()),
     }
     context.metrics.policy_passed_over.set(passed_over.len() as i64);
-    let mut known = lock(&context.catalog_state);
-    let news = passed_over.iter().filter(|reason| !known.policy_passed_over.contains(*reason));
-    news.for_each(|reason| log::warn!("policy: passed over revision={revision} reason={reason:?}"));
-    known.policy_error = None;
-    known.policy_passed_over = passed_over;
+    let mut state = lock(&context.catalog_state);
+    let new_reasons = passed_over.iter().filter(|reason| !state.policy_passed_over.contains(*reason));
+    new_reasons.for_each(|reason| log::warn!("policy: entry ignored revision={revision} reason={reason:?}"));
+    state.policy_error = None;
+    state.policy_passed_over = passed_over;
 }
 
-/// Notices what time alone changes.
-pub async fn turn(context: Arc<Context>, catalog: Catalog) {
+/// Applies what changes with time alone; runs until the task is aborted.
+pub async fn run(context: Arc<Context>, catalog: Catalog) {
     loop {
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(REFRESH_INTERVAL).await;
         let now = context.now();
-        let dropped = lock(&context.mirror).remove_expired(now);
-        if dropped {
+        let expired = lock(&context.mirror).remove_expired(now);
+        if expired {
             publish(&context, catalog);
         } else {
             view::refresh(&context);
--- a/crates/daemon/src/mirror/store.rs
+++ b/crates/daemon/src/mirror/store.rs
@@ -1,19 +1,19 @@
-//! Questions to the store itself.
+//! Calls to the store itself.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use store::{Call, Entry, Error, Reply, Result};
 
-use super::{FIRST_PAUSE, Turn};
+use super::{MIN_RETRY_DELAY, Outcome};
 use crate::Context;
 use crate::context::lock;
 
-/// Start of keys of which there are none: a list of them tells the store's revision and little else.
-const NOTHING: &str = "hemlock/none/";
+/// Prefix of which there are no keys: a list of them returns the store's revision and little else.
+const EMPTY_PREFIX: &str = "hemlock/none/";
 
-/// Takes in all keys.
-pub async fn list(context: &Context) -> Result<Turn> {
+/// Lists all keys and replaces the mirror's contents with them.
+pub async fn list(context: &Context) -> Result<Outcome> {
     let sent = context.now();
     let mut all: Vec<Entry> = Vec::new();
     let mut first = None;
@@ -21,7 +21,7 @@
         let after = all.last().map(|entry| entry.key.clone()).unwrap_or_default();
         let reply = call(context, Call::List { prefix: String::new(), after, stale: false }).await?;
         let Reply::Page { entries, more, revision } = reply else { return Err(unexpected(&reply)) };
-        // Later pages may be newer; the watch from the first page's revision tells what they missed.
+        // Later pages may be newer. The watch starts at the first page's revision and returns what the earlier ones missed.
         let first = *first.get_or_insert(revision);
         let done = !more || entries.is_empty();
         all.extend(entries);
@@ -30,53 +30,53 @@
             let mut mirror = lock(&context.mirror);
             mirror.replace(all, first, now);
             mirror.confirm(sent);
-            return Ok(Turn::Changed);
+            return Ok(Outcome::Changed);
         }
     }
 }
 
-/// Waits for changes and takes them in; ends early when the source should be chosen anew.
-pub async fn changes(context: &Context) -> Result<Turn> {
+/// Waits for changes and applies them; returns early when the source should be selected again.
+pub async fn changes(context: &Context) -> Result<Outcome> {
     let wait = Duration::from_millis(context.settings.platform.watch_ms);
     tokio::select! {
-        turn = changes_within(context, wait) => turn,
-        () = context.mirror_sync.choose.notified() => Ok(Turn::Same),
+        outcome = changes_within(context, wait) => outcome,
+        () = context.mirror_sync.reselect.notified() => Ok(Outcome::Unchanged),
     }
 }
 
-/// Takes in the changes that come within `wait`.
-pub async fn changes_within(context: &Context, wait: Duration) -> Result<Turn> {
+/// Applies the changes that come within `wait`.
+pub async fn changes_within(context: &Context, wait: Duration) -> Result<Outcome> {
     let after = lock(&context.mirror).revision();
     match call(context, Call::Watch { prefix: String::new(), after, wait }).await? {
         Reply::Events { events, revision } => {
             let now = context.now();
             let changed = lock(&context.mirror).apply(events, revision, now);
-            Ok(if changed { Turn::Changed } else { Turn::Same })
+            Ok(if changed { Outcome::Changed } else { Outcome::Unchanged })
         }
-        Reply::Compacted => Ok(Turn::Forgotten),
+        Reply::Compacted => Ok(Outcome::Compacted),
         other => Err(unexpected(&other)),
     }
 }
 
-/// The store's revision: all that it had accepted when this was called stands at or below it.
+/// Returns the store's revision; every change accepted before this call has that revision or a lower one.
 pub async fn revision(context: &Context) -> Result<u64> {
-    match call(context, Call::List { prefix: NOTHING.to_owned(), after: String::new(), stale: false }).await? {
+    match call(context, Call::List { prefix: EMPTY_PREFIX.to_owned(), after: String::new(), stale: false }).await? {
         Reply::Page { revision, .. } => Ok(revision),
         other => Err(unexpected(&other)),
     }
 }
 
-/// Waits until the copy holds all that the store had accepted when this was called.
+/// Waits until the mirror has every change that the store had accepted before this call.
 pub async fn confirm(context: &Context) {
     loop {
         if let Ok(revision) = revision(context).await {
             while lock(&context.mirror).revision() < revision {
-                tokio::time::sleep(FIRST_PAUSE / 10).await;
+                tokio::time::sleep(MIN_RETRY_DELAY / 10).await;
             }
             return;
         }
         context.store.reconnect();
-        tokio::time::sleep(FIRST_PAUSE).await;
+        tokio::time::sleep(MIN_RETRY_DELAY).await;
     }
 }
 
@@ -86,14 +86,14 @@
     let label = if result.is_ok() { "ok" } else { "failed" };
     context.metrics.store_calls.with_label_values(&[call.name(), label]).inc();
     if result.is_err() {
-        // A watch may have waited for long before it was cut.
+        // A watch may have waited for a long time before it failed, so its failure counts from now on, not from its start.
         let since = if matches!(call, Call::Watch { .. }) { context.now() } else { sent };
         lock(&context.mirror).record_failure(since);
     } else {
         let now = context.now();
         context.store_answered_at.store(now.as_micros(), Ordering::Relaxed);
-        let lost = lock(&context.mirror).record_answer(sent, now);
-        if lost {
+        let was_away = lock(&context.mirror).record_answer(sent, now);
+        if was_away {
             log::info!("mirror: store answers again silent_ms={}", now.since(sent).as_millis());
         }
     }
@@ -101,5 +101,5 @@
 }
 
 fn unexpected(reply: &Reply) -> Error {
-    Error::Ambiguous(format!("the answer fits another call: {reply:?}"))
+    Error::Ambiguous(format!("the store's answer belongs to another call: {reply:?}"))
 }
