--- a/crates/daemon/src/mirror/follow.rs
+++ b/crates/daemon/src/mirror/follow.rs
@@ -129,10 +129,11 @@
     }
 }
 
-/// Returns the changes after the revision `after`, or a page of all keys that follow the key `from` if that is not empty.
+/// Returns the changes after the revision `after`, or a page of all keys that follow the key `from` if that is not
+/// empty.
 ///
-/// Waits until there is a change or the mirror is confirmed again to be complete, for at most `wait`; a page is returned
-/// at once. `None` if the mirror is empty.
+/// Waits until there is a change or the mirror is confirmed again to be complete, for at most `wait`; a page is
+/// returned at once. `None` if the mirror is empty.
 pub async fn changes(context: &Arc<Context>, after: u64, from: &str, wait: Duration) -> Option<Changes> {
     let asked = context.now();
     let mut updates = context.mirror_sync.updates.subscribe();
--- a/crates/daemon/src/mirror/mod.rs
+++ b/crates/daemon/src/mirror/mod.rs
@@ -27,7 +27,7 @@
 /// Longest wait at startup for the other daemons to become known.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time after startup in which a source whose mirror is still empty is polled again rather than avoided if all daemons
-/// start now (`fleet.first_start`).
+/// start now (`fleet.first_start`): it may have started at the same time as this one.
 const STARTUP_GRACE: Duration = Duration::from_secs(2);
 /// Maximum number of members that are asked for an initial copy.
 const MAX_BOOTSTRAP_MEMBERS: usize = 4;
@@ -121,7 +121,8 @@
     Member { name: String, stale_after: Duration },
 }
 
-/// Selects the source at `now`, without the members that are avoided as silent or stale unless `include_avoided` is set.
+/// Selects the source at `now`, without the members that are avoided as silent or stale unless `include_avoided` is
+/// set.
 fn upstream(context: &Context, include_avoided: bool, now: Time) -> Upstream {
     let settings = &context.settings;
     let roster = lock(&context.roster);
--- a/crates/daemon/src/mirror/store.rs
+++ b/crates/daemon/src/mirror/store.rs
@@ -21,7 +21,8 @@
         let after = all.last().map(|entry| entry.key.clone()).unwrap_or_default();
         let reply = call(context, Call::List { prefix: String::new(), after, stale: false }).await?;
         let Reply::Page { entries, more, revision } = reply else { return Err(unexpected(&reply)) };
-        // Later pages may be newer. The watch starts at the first page's revision and returns what the earlier ones missed.
+        // Later pages may be newer. The watch starts at the first page's revision and returns what the earlier ones
+        // missed.
         let first = *first.get_or_insert(revision);
         let done = !more || entries.is_empty();
         all.extend(entries);
@@ -86,7 +87,8 @@
     let label = if result.is_ok() { "ok" } else { "failed" };
     context.metrics.store_calls.with_label_values(&[call.name(), label]).inc();
     if result.is_err() {
-        // A watch may have waited for a long time before it failed, so its failure counts from now on, not from its start.
+        // A watch may have waited for a long time before it failed, so its failure counts from now on, not from its
+        // start.
         let since = if matches!(call, Call::Watch { .. }) { context.now() } else { sent };
         lock(&context.mirror).record_failure(since);
     } else {
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -1,4 +1,5 @@
-//! What look-ups and attempts read, prepared anew when the list, the membership or the policy has changed.
+//! The routing state that look-ups and attempts read. It is rebuilt when the instance list, the membership or the
+//! policy changes.
 
 mod entries;
 mod servers;
@@ -15,97 +16,102 @@
 use steer::shift::{Controller, Shares};
 use steer::{Table, View};
 
-use self::servers::Dealing;
+use self::servers::Assignments;
 use crate::Context;
 use crate::context::lock;
 use crate::decision_log;
 use crate::instance_list::Item;
 use crate::policies::ActivePolicy;
 
-/// Part of the second sends that are allowed which is used: requests are counted in windows, and views differ.
-const REPEATS_USED: f64 = 0.8;
+/// Fraction of the allowed second sends that is used. The rest is a margin, since requests are counted in windows and
+/// the daemons' views of the membership differ.
+const REPEAT_UTILIZATION: f64 = 0.8;
 
-/// A prepared state of the world.
+/// An immutable snapshot of the routing state.
 #[derive(Debug, Clone, Default)]
 pub struct Steering {
     /// Home regions of callers.
     pub table: Arc<Table>,
     /// Entry instances.
     pub view: Arc<View>,
-    /// Shifts of callers.
+    /// Shares of each region's callers that are shifted to other regions.
     pub shares: Shares,
-    /// Backend servers in use, by number.
+    /// Backend servers that this daemon uses, by their ids.
     pub backends: Arc<BTreeMap<BackendId, Arc<Instance>>>,
 }
 
-/// What the prepared state rests on.
+/// Inputs that the current routing state was built from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Inputs {
     /// Revision of the policy.
     pub revision: u64,
-    /// Whether there was a policy.
+    /// Whether a policy with at least one region was active.
     pub policy: bool,
-    /// Whether the list of instances was read.
+    /// Whether the instance list had been read.
     pub list: bool,
 }
 
 impl Steering {
-    /// Where a backend server is reached.
+    /// Returns the address of a backend server; `None` if this daemon does not use it.
     pub fn backend_address(&self, backend: BackendId) -> Option<String> {
         self.backends.get(&backend).map(|instance| instance.address.clone())
     }
 }
 
-/// What preparing the state goes by and keeps from one time to the next.
+/// State kept from one refresh to the next.
 #[derive(Debug, Default)]
 pub struct RefreshState {
-    /// What the prepared state rests on.
+    /// Inputs that the current routing state was built from.
     pub inputs: Inputs,
-    basis: Option<Basis>,
-    dealing: Dealing,
-    /// Slots of the backend servers of each region.
+    /// Versions at the last rebuild; `None` forces the next one.
+    versions: Option<InputVersions>,
+    assignments: Assignments,
+    /// Total slots of the backend servers, by region.
     slots: BTreeMap<String, u32>,
 }
 
-/// All that servers and entry instances are prepared from, beside the policy.
+/// Versions of everything, besides the policy, that backend servers and entry instances are built from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Basis {
+struct InputVersions {
     list: u64,
     roster: u64,
     settled: bool,
 }
 
-/// Prepares anew what has changed in the list, the membership or with time; several threads may ask for it at once.
+/// Rebuilds what has changed in the instance list, in the membership or with time. Threads that call it at the same
+/// time run one after the other.
 pub fn refresh(context: &Arc<Context>) {
-    let mut preparing = lock(&context.preparing);
-    let in_force = context.policy();
-    prepare(context, &in_force, &mut preparing);
+    let mut state = lock(&context.preparing);
+    let active = context.policy();
+    update(context, &active, &mut state);
 }
 
-/// Puts `next` into force once everything is prepared for it: what is decided by a policy finds its servers.
+/// Makes `next` the active policy. The routing state is rebuilt for it first, so that a request that is handled by the
+/// new policy finds its servers.
 pub fn activate(context: &Arc<Context>, next: Arc<ActivePolicy>) {
-    let mut preparing = lock(&context.preparing);
+    let mut state = lock(&context.preparing);
     if next.regions != context.policy().regions {
-        let kept = Duration::from_millis(context.settings.callers.answer_kept_ms);
-        *lock(&context.shift_controller) = Controller::new(next.regions.len(), kept, context.now());
+        let answer_ttl = Duration::from_millis(context.settings.callers.answer_kept_ms);
+        *lock(&context.shift_controller) = Controller::new(next.regions.len(), answer_ttl, context.now());
     }
     context.driver.with_engine_mut(context, |engine| engine.set_classes(next.class_specs()));
-    preparing.basis = None;
-    prepare(context, &next, &mut preparing);
+    state.versions = None;
+    update(context, &next, &mut state);
     *context.active_policy.write().unwrap_or_else(PoisonError::into_inner) = next;
 }
 
-/// Time alone changes little: the list and the members are gone through only if they changed.
-fn prepare(context: &Arc<Context>, in_force: &ActivePolicy, preparing: &mut RefreshState) {
+/// Updates the routing state for the policy `active`. Goes through the list and the members only if they changed, since
+/// time alone changes little.
+fn update(context: &Arc<Context>, active: &ActivePolicy, state: &mut RefreshState) {
     let now = context.now();
     let list = lock(&context.instance_list).clone();
     let roster = lock(&context.roster).digest();
-    let basis = Basis { list: list.version, roster, settled: servers::settled(context) };
-    let specs = (preparing.basis != Some(basis)).then(|| rebuild(context, in_force, &list.items, preparing));
-    preparing.basis = Some(basis);
-    let steering = shift(context, in_force, now);
+    let versions = InputVersions { list: list.version, roster, settled: servers::settled(context) };
+    let specs = (state.versions != Some(versions)).then(|| rebuild(context, active, &list.items, state));
+    state.versions = Some(versions);
+    let steering = shift_callers(context, active, now);
     context.pool.keep(|backend| steering.backends.contains_key(&backend), now);
-    let remotes = remotes(context, &preparing.slots, in_force, now);
+    let remotes = remotes(context, &state.slots, active, now);
     let budgets = budgets(context, lock(&context.roster).live_members().count() + 1);
     context.driver.with_engine_mut(context, |engine| {
         engine.set_budgets(budgets);
@@ -116,38 +122,39 @@
             engine.set_backends(specs, now);
         }
     });
-    let policy = !in_force.policy.regions.is_empty();
-    preparing.inputs = Inputs { revision: in_force.revision, policy, list: list.read_at.is_some() };
+    let policy = !active.policy.regions.is_empty();
+    state.inputs = Inputs { revision: active.revision, policy, list: list.read_at.is_some() };
 }
 
-/// Goes through the list and the members; gives what dispatch needs of the servers.
-fn rebuild(context: &Context, in_force: &ActivePolicy, items: &[Item], preparing: &mut RefreshState) -> Vec<Spec> {
+/// Rebuilds backend servers and entry instances from the list and the members; returns the specs of the used servers
+/// for the dispatch engine.
+fn rebuild(context: &Context, active: &ActivePolicy, items: &[Item], state: &mut RefreshState) -> Vec<Spec> {
     let roster = lock(&context.roster).clone();
-    let told = if context.catalog.is_some() { entries::members(&roster, in_force) } else { Vec::new() };
-    let instances: Vec<&Instance> = items.iter().map(|item| &*item.instance).chain(&told).collect();
+    let members = if context.catalog.is_some() { entries::members(&roster, active) } else { Vec::new() };
+    let instances: Vec<&Instance> = items.iter().map(|item| &*item.instance).chain(&members).collect();
     context.metrics.members.set(roster.live_members().count() as i64 + 1);
     let before = context.steering();
-    let standing = entries::entries(&instances, &roster, in_force, context);
-    let view = entries::ranked(&before.view, standing, in_force.regions.len());
-    preparing.dealing.update(context, &roster, in_force);
-    let used = preparing.dealing.used(items, in_force);
-    let specs = preparing.dealing.specs(context, &used, in_force);
+    let entry_instances = entries::entries(&instances, &roster, active, context);
+    let view = entries::ranked(&before.view, entry_instances, active.regions.len());
+    state.assignments.update(context, &roster, active);
+    let used = state.assignments.used(items, active);
+    let specs = state.assignments.specs(context, &used, active);
     let backends = used.into_iter().map(|item| (item.id, Arc::clone(&item.instance))).collect();
-    preparing.slots.clear();
+    state.slots.clear();
     for server in instances.iter().filter(|instance| instance.role == Role::Backend) {
-        *preparing.slots.entry(server.region.clone()).or_default() += server.slots;
+        *state.slots.entry(server.region.clone()).or_default() += server.slots;
     }
-    let table = Arc::clone(&in_force.table);
+    let table = Arc::clone(&active.table);
     let steering = Steering { table, view, shares: before.shares.clone(), backends: Arc::new(backends) };
     decision_log::steering_changed(&before, &steering);
     context.set_steering(steering);
     specs
 }
 
-/// Shifts callers by the loads that are known now; gives the state then in force.
-fn shift(context: &Context, in_force: &ActivePolicy, now: Time) -> Arc<Steering> {
+/// Updates the shifts of callers by the loads that are known now; returns the routing state then current.
+fn shift_callers(context: &Context, active: &ActivePolicy, now: Time) -> Arc<Steering> {
     let steering = context.steering();
-    let loads = entries::loads(in_force, &lock(&context.roster), &steering.view);
+    let loads = entries::loads(active, &lock(&context.roster), &steering.view);
     let mut controller = lock(&context.shift_controller);
     controller.update(&loads, now);
     if *controller.shares() == steering.shares {
@@ -159,33 +166,34 @@
     context.steering()
 }
 
-/// Our part of the second sends that all daemons may cause together; twice as many daemons as are known may be
-/// there.
+/// Returns this daemon's budgets. Its share of the second sends that all daemons may cause together assumes twice as
+/// many daemons as are known, since there may be others that this one has not seen yet.
 fn budgets(context: &Context, daemons: usize) -> Budgets {
     let settings = &context.settings.dispatch;
     let daemons = 2.0 * daemons as f64;
     Budgets {
         retry_ratio: settings.retry_part,
-        repeat_ratio: settings.repeat_part * REPEATS_USED,
+        repeat_ratio: settings.repeat_part * REPEAT_UTILIZATION,
         repeat_burst: settings.repeats_saved / daemons,
         ..Budgets::DEFAULT
     }
 }
 
-/// What we may use of other regions: our part of a part that is split between all regions that might.
-fn remotes(context: &Context, slots: &BTreeMap<String, u32>, in_force: &ActivePolicy, now: Time) -> Vec<(u16, Remote)> {
+/// Returns what this daemon may use of each other region. The part of a region that others may use is divided equally
+/// between all other regions, and this region's share by the grants of its daemons.
+fn remotes(context: &Context, slots: &BTreeMap<String, u32>, active: &ActivePolicy, now: Time) -> Vec<(u16, Remote)> {
     if context.settings.dispatch.open_links {
-        return (0..in_force.regions.len() as u16).map(|region| (region, Remote::UNLIMITED)).collect();
+        return (0..active.regions.len() as u16).map(|region| (region, Remote::UNLIMITED)).collect();
     }
     let share = lock(&context.grant_manager).share(now);
     let own = &context.settings.region;
-    let sources = in_force.regions.len().saturating_sub(1);
+    let sources = active.regions.len().saturating_sub(1);
     let remote = |name: &String| {
         let slots = slots.get(name).copied().unwrap_or(0);
-        let cap = in_force.policy.link_cap(own, name).unwrap_or(0.0);
-        let allowed = grant::allowance(slots, sources, cap, share);
-        Remote { max_in_flight: allowed.max_requests, bytes_per_second: allowed.bytes_per_second }
+        let cap = active.policy.link_cap(own, name).unwrap_or(0.0);
+        let allowance = grant::allowance(slots, sources, cap, share);
+        Remote { max_in_flight: allowance.max_requests, bytes_per_second: allowance.bytes_per_second }
     };
-    let others = in_force.regions.iter().enumerate().filter(|(_, name)| *name != own);
+    let others = active.regions.iter().enumerate().filter(|(_, name)| *name != own);
     others.map(|(position, name)| (position as u16, remote(name))).collect()
 }
--- a/crates/daemon/src/view/servers.rs
+++ b/crates/daemon/src/view/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers that this daemon uses, and how it starts them.
+//! Backend servers that this daemon uses, and its share of their slow start.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,102 +13,110 @@
 use crate::instance_list::Item;
 use crate::policies::ActivePolicy;
 
-/// Daemons of a region that may use one backend server, so that its connections are not used up.
-const USERS_PER_BACKEND: usize = 64;
-/// Time in which a daemon that starts hears of the others: a few exchanges with peers.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Maximum number of daemons of a region that use one backend server, so that they do not exhaust its connections.
+const MAX_DAEMONS_PER_BACKEND: usize = 64;
+/// Time after which a starting daemon is assumed to know the others: a few gossip exchanges.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Whether the daemon has had time to hear of the others.
+/// Returns whether the daemon has had time to learn of the others; always true without seeds.
 pub fn settled(context: &Context) -> bool {
-    context.settings.fleet.seeds.is_empty() || context.uptime() > SETTLE
+    context.settings.fleet.seeds.is_empty() || context.uptime() > SETTLE_TIME
 }
 
-/// What falls to this daemon of one server.
+/// This daemon's assignment to one backend server.
 #[derive(Debug, Clone, Copy)]
-struct Dealt {
+struct Assignment {
     used: bool,
-    /// Part of the requests that the server bears while it starts, and whether we send it any meanwhile.
-    part: f64,
+    /// Fraction of the requests that the server takes while it is cold that this daemon may send.
+    start_share: f64,
+    /// Whether this daemon sends work to the server while it is cold.
     starter: bool,
 }
 
-/// What falls to this daemon of each server, as long as the daemons are the same: it is worked out from all of them.
+/// This daemon's assignments to backend servers. They are computed from the set of live daemons and cached as long as
+/// that set stays the same.
 #[derive(Debug, Clone, Default)]
-pub struct Dealing {
+pub struct Assignments {
+    /// Hash of this daemon's name.
     own: u64,
-    /// Living daemons of our region and of all regions, hashed, ourselves among them.
+    /// Hashes of the names of the live daemons of this region, including this daemon.
     region: Vec<u64>,
+    /// The same for all regions.
     all: Vec<u64>,
+    /// Number of daemons that send work to a cold server.
     starters: usize,
     settled: bool,
-    dealt: BTreeMap<BackendId, Dealt>,
+    by_backend: BTreeMap<BackendId, Assignment>,
 }
 
-impl Dealing {
-    /// Takes the daemons that live now; forgets what was dealt if they are others than before.
-    pub fn update(&mut self, context: &Context, roster: &Roster, in_force: &ActivePolicy) {
+impl Assignments {
+    /// Updates the set of live daemons; clears the assignments if it changed.
+    pub fn update(&mut self, context: &Context, roster: &Roster, active: &ActivePolicy) {
         let own = hash::bytes(context.settings.instance.as_bytes());
-        let domains = in_force.policy.regions.get(&context.settings.region);
+        let domains = active.policy.regions.get(&context.settings.region);
         let domains = domains.map(|region| region.domains.as_slice()).unwrap_or_default();
-        let region = hashed(own, domains.iter().flat_map(|domain| roster.live_members_in(domain)));
-        let all = hashed(own, roster.live_members());
+        let region = name_hashes(own, domains.iter().flat_map(|domain| roster.live_members_in(domain)));
+        let all = name_hashes(own, roster.live_members());
         let (starters, settled) = (context.settings.dispatch.starters as usize, settled(context));
         if (&self.region, &self.all, self.settled) != (&region, &all, settled) {
-            *self = Self { own, region, all, starters, settled, dealt: BTreeMap::new() };
+            *self = Self { own, region, all, starters, settled, by_backend: BTreeMap::new() };
         }
     }
 
-    /// The servers that this daemon uses: its share of those in its region, and all elsewhere.
-    pub fn used<'a>(&mut self, items: &'a [Item], in_force: &ActivePolicy) -> Vec<&'a Item> {
+    /// Returns the backend servers that this daemon uses. A server whose service is not part of the policy is not used;
+    /// any other one is used by at most `MAX_DAEMONS_PER_BACKEND` daemons of this region.
+    pub fn used<'a>(&mut self, items: &'a [Item], active: &ActivePolicy) -> Vec<&'a Item> {
         let used = |item: &&Item| {
             let Item { id, instance, .. } = item;
             instance.role == Role::Backend
-                && in_force.service_position(&instance.service).is_some()
-                && self.dealt(*id).used
+                && active.service_position(&instance.service).is_some()
+                && self.assignment(*id).used
         };
         items.iter().filter(used).collect()
     }
 
-    fn dealt(&mut self, id: BackendId) -> Dealt {
-        if let Some(known) = self.dealt.get(&id) {
+    fn assignment(&mut self, id: BackendId) -> Assignment {
+        if let Some(known) = self.by_backend.get(&id) {
             return *known;
         }
-        let used = subset::uses(self.own, &self.region, u64::from(id), USERS_PER_BACKEND);
-        let (part, starter) = subset::start_share(self.own, &self.all, u64::from(id), self.starters, self.settled);
-        let dealt = Dealt { used, part, starter };
-        self.dealt.insert(id, dealt);
-        dealt
+        let used = subset::uses(self.own, &self.region, u64::from(id), MAX_DAEMONS_PER_BACKEND);
+        let (start_share, starter) =
+            subset::start_share(self.own, &self.all, u64::from(id), self.starters, self.settled);
+        let assignment = Assignment { used, start_share, starter };
+        self.by_backend.insert(id, assignment);
+        assignment
     }
 
-    /// What dispatch needs of the servers that are used.
-    pub fn specs(&mut self, context: &Context, used: &[&Item], in_force: &ActivePolicy) -> Vec<Spec> {
-        let near = used.iter().filter(|item| item.instance.region == context.settings.region);
-        let near: Vec<u64> = near.map(|item| u64::from(item.id)).collect();
-        let hosts = subset::hosts(self.own, &self.region, &near);
-        let hosted: BTreeMap<u64, bool> = near.into_iter().zip(hosts).collect();
+    /// Returns the specs of the `used` servers for the dispatch engine.
+    pub fn specs(&mut self, context: &Context, used: &[&Item], active: &ActivePolicy) -> Vec<Spec> {
+        let in_region = used.iter().filter(|item| item.instance.region == context.settings.region);
+        let in_region: Vec<u64> = in_region.map(|item| u64::from(item.id)).collect();
+        let hosts = subset::hosts(self.own, &self.region, &in_region);
+        let hosts: BTreeMap<u64, bool> = in_region.into_iter().zip(hosts).collect();
         let spec = |item: &&Item| {
             let instance = &*item.instance;
-            let policy = &in_force.policy;
+            let policy = &active.policy;
             let drained = policy.instance_drained(&instance.name) || policy.servers_drained(&instance.domain);
-            let region = in_force.region_position(&instance.region)?;
+            let region = active.region_position(&instance.region)?;
             Some(Spec {
                 id: item.id,
-                service: in_force.service_position(&instance.service)?,
+                service: active.service_position(&instance.service)?,
                 place: place(context, instance, region),
                 slots: instance.slots,
                 leaving: drained || instance.state == Listed::Leaving,
-                hosts: hosted.get(&u64::from(item.id)).copied().unwrap_or(false),
+                hosts: hosts.get(&u64::from(item.id)).copied().unwrap_or(false),
                 region,
-                slow_start: self.start(item, in_force),
+                slow_start: self.slow_start(item, active),
             })
         };
         used.iter().filter_map(spec).collect()
     }
 
-    fn start(&mut self, item: &Item, in_force: &ActivePolicy) -> Option<SlowStart> {
-        let service = in_force.policy.services.get(&item.instance.service)?;
-        let Dealt { part, starter, .. } = self.dealt(item.id);
-        let per_second = service.start_per_second * part;
+    /// Returns this daemon's share of the server's slow start; `None` if its service has none.
+    fn slow_start(&mut self, item: &Item, active: &ActivePolicy) -> Option<SlowStart> {
+        let service = active.policy.services.get(&item.instance.service)?;
+        let Assignment { start_share, starter, .. } = self.assignment(item.id);
+        let per_second = service.start_per_second * start_share;
         let phase = hash::unit_interval(hash::combine(self.own, item.id.into()));
         (service.start_per_second > 0.0).then_some(SlowStart { until: item.cold_until, per_second, starter, phase })
     }
@@ -124,11 +132,11 @@
     }
 }
 
-/// Hashes of the names of daemons, with our own.
-fn hashed<'a>(own: u64, names: impl Iterator<Item = &'a str>) -> Vec<u64> {
-    let mut hashed: Vec<u64> = names.map(|name| hash::bytes(name.as_bytes())).collect();
-    if !hashed.contains(&own) {
-        hashed.push(own);
+/// Returns the hashes of the names of daemons, including `own`, the hash of this daemon's name.
+fn name_hashes<'a>(own: u64, names: impl Iterator<Item = &'a str>) -> Vec<u64> {
+    let mut hashes: Vec<u64> = names.map(|name| hash::bytes(name.as_bytes())).collect();
+    if !hashes.contains(&own) {
+        hashes.push(own);
     }
-    hashed
+    hashes
 }
