--- a/crates/daemon/src/peers/api.rs
+++ b/crates/daemon/src/peers/api.rs
@@ -1,4 +1,4 @@
-//! The calls between daemons.
+//! The JSON-RPC interface between daemons.
 
 use fleet::Document;
 use fleet::message::{Message, Snapshot};
@@ -8,36 +8,37 @@
 
 use crate::response::WireResponse;
 
-/// What a daemon can say of a key it claimed.
+/// Status of an idempotency key, as the daemon that claimed it reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimStatus {
-    /// It ran, and this was the answer.
+    /// The request ran, and this was the answer.
     Ran(WireResponse),
-    /// It runs now.
+    /// The request is running now.
     Running,
-    /// It never ran and never will under its claim.
+    /// The request never ran and never will under this claim.
     NeverRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// The calls.
+/// Calls that each daemon serves to its peers.
 #[rpc(client, server)]
 pub trait Peers {
-    /// Exchanges news.
+    /// Merges a gossip message and returns one in answer.
     #[method(name = "exchange")]
     async fn exchange(&self, message: Message) -> Result<Message, jsonrpsee::types::ErrorObjectOwned>;
 
-    /// The policy in force if its revision is above `after`.
+    /// Returns the active policy if its revision is above `after`.
     #[method(name = "policy")]
     async fn policy(&self, after: u64) -> Result<Option<Document>, jsonrpsee::types::ErrorObjectOwned>;
 
-    /// All that a starting daemon needs.
+    /// Returns the members, the policy and the leaving backend servers for a starting daemon.
     #[method(name = "snapshot")]
     async fn snapshot(&self) -> Result<Snapshot, jsonrpsee::types::ErrorObjectOwned>;
 
-    /// What the copy of the store knows beyond the revision `after`, once there is something or `wait_ms` have passed;
-    /// a page of all keys behind `from` if that is named. Nothing if there is no copy yet.
+    /// Returns the changes of the store's mirror after the revision `after`, once there are some, the mirror is
+    /// confirmed again or `wait_ms` have passed; or a page of all keys that follow the key `from` if that is not empty.
+    /// `None` if the mirror is still empty.
     #[method(name = "changes")]
     async fn changes(
         &self,
@@ -46,7 +47,8 @@
         wait_ms: u64,
     ) -> Result<Option<Changes>, jsonrpsee::types::ErrorObjectOwned>;
 
-    /// What is known of the key with the hash `key`, in hexadecimal, by the incarnation that claimed it.
+    /// Returns the status of the key with the hash `key`, in hexadecimal; `Unknown` if `incarnation` is not that of
+    /// this process.
     #[method(name = "word")]
     async fn claim_status(
         &self,
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other daemons.
+//! JSON-RPC clients for calls to other daemons.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,52 +9,53 @@
 use crate::Context;
 use crate::response::Response;
 
-/// Largest answer taken from a peer, in bytes.
-const MAX_BYTES: u32 = 2 << 20;
+/// Maximum size of a peer's answer, in bytes.
+const MAX_ANSWER_BYTES: u32 = 2 << 20;
 
-/// A client of the peer at `address`.
+/// Returns a client for the peer at `address`, with the timeout of the settings; `None` if the address is invalid.
 pub fn client(context: &Context, address: &str) -> Option<HttpClient> {
     client_with_timeout(address, Duration::from_millis(context.settings.fleet.timeout_ms))
 }
 
-/// A client of the peer at `address` whose calls end within `timeout`.
+/// Returns a client for the peer at `address` whose calls end within `timeout`; `None` if the address is invalid.
 pub fn client_with_timeout(address: &str, timeout: Duration) -> Option<HttpClient> {
-    let builder = HttpClientBuilder::default().request_timeout(timeout).max_response_size(MAX_BYTES);
+    let builder = HttpClientBuilder::default().request_timeout(timeout).max_response_size(MAX_ANSWER_BYTES);
     match builder.build(format!("http://{address}")) {
         Ok(client) => Some(client),
         Err(error) => {
-            log::warn!("peers: no client address={address} reason={:?}", error.to_string());
+            log::warn!("peers: client not created address={address} reason={:?}", error.to_string());
             None
         }
     }
 }
 
-/// What the daemon at `address` says of a key that its incarnation `incarnation` claimed. Blocks.
+/// Asks the daemon at `address` for the status of a key that its incarnation `incarnation` claimed; `Unknown` if it
+/// does not answer. Blocks the thread.
 pub fn claim_status(
     context: &Arc<Context>,
     address: &str,
     incarnation: u64,
     key: u128,
 ) -> ledger::acquire::Status<Arc<Response>> {
-    use ledger::acquire::Status as Known;
+    use ledger::acquire::Status;
     let Some(client) = client(context, address) else {
-        return Known::Unknown;
+        return Status::Unknown;
     };
-    let asked = context.runtime.block_on(client.claim_status(incarnation, format!("{key:032x}")));
-    match asked {
-        Ok(ClaimStatus::Ran(packed)) => match Response::try_from(packed) {
-            Ok(whole) => Known::Ran(Arc::new(whole)),
+    let answer = context.runtime.block_on(client.claim_status(incarnation, format!("{key:032x}")));
+    match answer {
+        Ok(ClaimStatus::Ran(response)) => match Response::try_from(response) {
+            Ok(response) => Status::Ran(Arc::new(response)),
             Err(error) => {
-                log::warn!("orders: claimant's answer not taken address={address} reason={error}");
-                Known::Unknown
+                log::warn!("orders: claimant's answer is invalid address={address} reason={error}");
+                Status::Unknown
             }
         },
-        Ok(ClaimStatus::Running) => Known::Running,
-        Ok(ClaimStatus::NeverRun) => Known::NeverRun,
-        Ok(ClaimStatus::Unknown) => Known::Unknown,
+        Ok(ClaimStatus::Running) => Status::Running,
+        Ok(ClaimStatus::NeverRun) => Status::NeverRun,
+        Ok(ClaimStatus::Unknown) => Status::Unknown,
         Err(error) => {
-            log::debug!("orders: claimant silent address={address} reason={:?}", error.to_string());
-            Known::Unknown
+            log::debug!("orders: claimant did not answer address={address} reason={:?}", error.to_string());
+            Status::Unknown
         }
     }
 }
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with one peer, again and again.
+//! The periodic gossip exchange with one peer at a time, and joining at startup.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,10 +14,10 @@
 use crate::plugin::Plugin;
 use crate::policies;
 
-/// Longest pause of a daemon that finds no peer at its start.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(8);
-/// Time in which daemons that are started together have told a seed that they are there.
-const MEETING: Duration = Duration::from_millis(400);
+/// Upper bound of the delay between two seeds at startup.
+const MAX_JOIN_BACKOFF: Duration = Duration::from_secs(8);
+/// Time after which daemons that are started together are assumed to have registered with a seed.
+const REGISTRATION_TIME: Duration = Duration::from_millis(400);
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "exchange", stage: 30, start })
@@ -46,28 +46,29 @@
     Ok(Box::new(Exchange(task, Arc::clone(context))))
 }
 
-/// The message for a peer.
+/// Returns the next regular gossip message.
 pub fn message(context: &Context) -> Message {
     let revision = lock(&context.policy_replica).revision();
     let now = context.now();
     lock(&context.roster).message(revision, now)
 }
 
-/// The answer to a peer's message.
+/// Returns the answer to a peer's message.
 pub fn answer(context: &Context, message: &Message) -> Message {
     let revision = lock(&context.policy_replica).revision();
     let now = context.now();
     lock(&context.roster).answer(message, revision, now)
 }
 
-/// Takes in a peer's message and fetches its policy if that is newer.
+/// Merges a peer's message, and starts fetching the peer's policy if that is newer.
 pub fn apply(context: &Arc<Context>, message: &Message) {
     let now = context.now();
     lock(&context.roster).merge(message, now);
     if !message.losses.is_empty() {
-        let news = context.driver.with_engine_mut(context, |engine| engine.merge_losses(&message.losses, now));
-        // A single loss is mostly a connection's own end; told at once by all to all, each one costs more than its request.
-        if super::spread_losses(context, &news) {
+        let new_losses = context.driver.with_engine_mut(context, |engine| engine.merge_losses(&message.losses, now));
+        // Most single losses are connections that ended by themselves. Pushed by all daemons to all others, each one
+        // would cost more than its request, so losses are pushed only if requests are refused because of them.
+        if super::spread_losses(context, &new_losses) {
             super::push_urgent(context);
         }
     }
@@ -76,11 +77,11 @@
         let address = message.from.peer_address.clone();
         let context = Arc::clone(context);
         let runtime = context.runtime.clone();
-        runtime.spawn(async move { fetch(&context, &address).await });
+        runtime.spawn(async move { fetch_policy(&context, &address).await });
     }
 }
 
-/// Sends `message` to one peer and takes in its answer.
+/// Sends `message` to one peer and applies its answer; records a failure in the roster.
 pub async fn send(context: &Arc<Context>, name: &str, address: &str, message: Message) {
     let Some(client) = client::client(context, address) else {
         return;
@@ -100,14 +101,14 @@
     }
 }
 
-async fn fetch(context: &Arc<Context>, address: &str) {
+async fn fetch_policy(context: &Arc<Context>, address: &str) {
     let after = lock(&context.policy_replica).revision();
     let Some(client) = client::client(context, address) else {
         return;
     };
     match client.policy(after).await {
-        Ok(Some(copy)) => {
-            if policies::apply(context, copy, address) {
+        Ok(Some(document)) => {
+            if policies::apply(context, document, address) {
                 super::push_revision(context);
             }
         }
@@ -116,66 +117,67 @@
     }
 }
 
-/// Takes the state of the first peer that answers; a daemon alone goes on without.
+/// Joins through the first seed that answers, trying them in random order; without any the daemon starts alone.
 async fn join(context: &Arc<Context>) {
     let mut rng = fastrand::Rng::with_seed(context.incarnation);
     let mut seeds = context.settings.fleet.seeds.clone();
     seeds.retain(|seed| *seed != context.settings.fleet.address);
     rng.shuffle(&mut seeds);
     let base = Duration::from_millis(context.settings.fleet.exchange_ms);
-    for (tries, seed) in seeds.iter().enumerate() {
+    for (attempts, seed) in seeds.iter().enumerate() {
         let Some(client) = client::client(context, seed) else {
             continue;
         };
         match client.snapshot().await {
             Ok(snapshot) => {
-                let starting = !snapshot.has_mirror && context.settings.fleet.first_start;
-                adopt(context, snapshot, seed);
-                if starting && context.catalog.is_some() {
-                    meet(context, seed).await;
+                let seed_is_starting = !snapshot.has_mirror && context.settings.fleet.first_start;
+                apply_snapshot(context, snapshot, seed);
+                if seed_is_starting && context.catalog.is_some() {
+                    rejoin(context, seed).await;
                 }
                 return;
             }
             Err(error) => log::debug!("peers: seed skipped peer={seed} reason={:?}", error.to_string()),
         }
-        // Full jitter keeps a whole failure domain that starts at once from coming all together.
-        let most = base.saturating_mul(1 << tries.min(6)).min(LONGEST_BACKOFF);
-        tokio::time::sleep(most.mul_f64(rng.f64())).await;
+        // Full jitter keeps the daemons of a whole failure domain that start at once from asking all together.
+        let max_delay = base.saturating_mul(1 << attempts.min(6)).min(MAX_JOIN_BACKOFF);
+        tokio::time::sleep(max_delay.mul_f64(rng.f64())).await;
     }
     log::warn!("peers: no peer answered seeds={}", seeds.len());
 }
 
-/// Takes in what a peer knows.
-fn adopt(context: &Arc<Context>, snapshot: Snapshot, seed: &str) {
+/// Merges the snapshot of a peer: its members, leaving servers and policy.
+fn apply_snapshot(context: &Arc<Context>, snapshot: Snapshot, seed: &str) {
     let now = context.now();
     lock(&context.roster).merge_snapshot(&snapshot, now);
     for server in &snapshot.leaving {
         leaving::note(context, *server);
     }
     log::info!("peers: joined through peer={seed} members={}", snapshot.records.len());
-    if let Some(copy) = snapshot.policy {
-        policies::apply(context, copy, seed);
+    if let Some(document) = snapshot.policy {
+        policies::apply(context, document, seed);
     }
 }
 
-/// Tells a peer that has just started itself that we are here, and asks it a moment later who else is: where all start
-/// together, each would take itself for the first one of its region.
-async fn meet(context: &Arc<Context>, seed: &str) {
+/// Registers with a seed that has just started itself, and requests its snapshot again after [`REGISTRATION_TIME`].
+/// Without this, daemons that all start together would each take itself for the only one of its region.
+async fn rejoin(context: &Arc<Context>, seed: &str) {
     send(context, seed, seed, message(context)).await;
-    tokio::time::sleep(MEETING).await;
+    tokio::time::sleep(REGISTRATION_TIME).await;
     let Some(client) = client::client(context, seed) else { return };
     match client.snapshot().await {
-        Ok(snapshot) => adopt(context, snapshot, seed),
+        Ok(snapshot) => apply_snapshot(context, snapshot, seed),
         Err(error) => log::debug!("peers: seed skipped peer={seed} reason={:?}", error.to_string()),
     }
 }
 
+/// Exchanges messages with one member after the other until the task is aborted.
 async fn run(context: &Arc<Context>) {
     let base = context.settings.fleet.exchange_ms;
     let mut rng = fastrand::Rng::with_seed(context.incarnation ^ 1);
     loop {
-        let jittered = rng.u64(base * 3 / 4..=base * 5 / 4);
-        tokio::time::sleep(Duration::from_millis(jittered)).await;
+        let interval = rng.u64(base * 3 / 4..=base * 5 / 4);
+        tokio::time::sleep(Duration::from_millis(interval)).await;
         let now = context.now();
         let target = {
             let mut roster = lock(&context.roster);
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Exchange between daemons over JSON-RPC.
+//! Gossip and calls between daemons over JSON-RPC.
 
 pub mod api;
 pub mod client;
@@ -16,72 +16,78 @@
 use crate::backends::leaving;
 use crate::context::lock;
 
-/// Times a second at which a daemon tells of losses and of leaving servers at once, and as many times together: a request
-/// that crashes servers loses a few connections, a network hundreds.
-const TELLS_PER_SECOND: f64 = 1.0;
-const TELLS_TOGETHER: f64 = 3.0;
+/// Pushes of losses and leaving servers per second. A request that crashes servers loses a few connections; a network
+/// fault loses hundreds, too many to push each.
+const URGENT_PER_SECOND: f64 = 1.0;
+/// Number of such pushes that may follow each other without a pause.
+const URGENT_BURST: f64 = 3.0;
 
-/// Bounds how often peers are told at once.
+/// Returns the rate limiter of [`push_urgent`].
 pub const fn gossip_limiter(now: Time) -> Bucket {
-    Bucket::new(TELLS_PER_SECOND, TELLS_TOGETHER, now)
+    Bucket::new(URGENT_PER_SECOND, URGENT_BURST, now)
 }
 
-/// Tells a few peers at once that a newer policy is in force here; they fetch it and tell others.
+/// Pushes the revision of a policy that has just become active to a few random peers, which fetch the policy and push
+/// it on.
 pub fn push_revision(context: &Arc<Context>) {
     let fanout = context.settings.fleet.fanout as usize;
-    tell(context, fanout);
+    push(context, fanout);
 }
 
-/// Lets the messages of the next while tell of losses of connections; says whether requests are refused for them.
+/// Adds losses of connections to the next gossip messages; returns whether requests are refused because of them.
+///
+/// `losses` holds pairs of a request's fingerprint and the loss's unique number. All losses of a fingerprint that is
+/// refused are repeated in every message for a while.
 pub fn spread_losses(context: &Context, losses: &[(u64, u64)]) -> bool {
     let now = context.now();
     let fingerprints = losses.iter().map(|(fingerprint, _)| *fingerprint);
-    let poison: Vec<(u64, u64)> = context.driver.with_engine(|engine| {
+    let quarantined: Vec<(u64, u64)> = context.driver.with_engine(|engine| {
         fingerprints.flat_map(|fingerprint| engine.quarantine_losses(fingerprint, now)).collect()
     });
     let mut roster = lock(&context.roster);
     losses.iter().for_each(|loss| roster.losses_mut().add(*loss, now));
-    poison.iter().for_each(|loss| roster.losses_mut().add_persistent(*loss, now));
-    !poison.is_empty()
+    quarantined.iter().for_each(|loss| roster.losses_mut().add_persistent(*loss, now));
+    !quarantined.is_empty()
 }
 
-/// Tells peers at once of losses and of servers that leave, so that they send nothing there either; when there are many
-/// they wait for the usual messages.
+/// Pushes losses and leaving backend servers to a few random peers, so that they send nothing there either. Above the
+/// rate limit they are left to the regular exchanges.
 pub fn push_urgent(context: &Arc<Context>) {
     let now = context.now();
     if !lock(&context.gossip_limiter).take(1.0, now) {
         return;
     }
     let mut roster = lock(&context.roster);
-    let chosen = roster.random_members(context.settings.fleet.fanout as usize);
-    let messages: Vec<Message> = chosen.iter().map(|_| roster.urgent_message(0, now)).collect();
+    let targets = roster.random_members(context.settings.fleet.fanout as usize);
+    let messages: Vec<Message> = targets.iter().map(|_| roster.urgent_message(0, now)).collect();
     drop(roster);
-    for ((name, address), message) in chosen.into_iter().zip(messages) {
+    for ((name, address), message) in targets.into_iter().zip(messages) {
         send(context, name, address, message);
     }
 }
 
-/// Backend servers said that they leave, to us or to a peer: passes on what is news.
+/// Records backend servers that announced to this daemon or to a peer that they leave, and pushes those that were not
+/// known as leaving.
 pub fn spread_leaving(context: &Arc<Context>, servers: &[BackendId]) {
     let now = context.now();
-    let news: Vec<BackendId> = servers.iter().copied().filter(|server| leaving::note(context, *server)).collect();
-    if news.is_empty() {
+    let new: Vec<BackendId> = servers.iter().copied().filter(|server| leaving::note(context, *server)).collect();
+    if new.is_empty() {
         return;
     }
     let mut roster = lock(&context.roster);
-    news.iter().for_each(|server| roster.leaving_mut().add(*server, now));
+    new.iter().for_each(|server| roster.leaving_mut().add(*server, now));
     drop(roster);
     push_urgent(context);
 }
 
-/// Tells as many peers as it takes for most to hear at once that we leave.
+/// Pushes the departure of this daemon to twice the usual number of peers, so that most members receive it soon.
 pub fn push_departure(context: &Arc<Context>) {
-    tell(context, 2 * context.settings.fleet.fanout as usize);
+    push(context, 2 * context.settings.fleet.fanout as usize);
 }
 
-fn tell(context: &Arc<Context>, most: usize) {
-    let chosen = lock(&context.roster).random_members(most);
-    for (name, address) in chosen {
+fn push(context: &Arc<Context>, limit: usize) {
+    let targets = lock(&context.roster).random_members(limit);
+    for (name, address) in targets {
         send(context, name, address, exchange::message(context));
     }
 }
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The peers' port.
+//! The JSON-RPC server for peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,29 +18,29 @@
 use crate::mirror;
 use crate::plugin::Plugin;
 
-/// Connections of peers at most.
+/// Maximum number of connections of peers.
 const MAX_CONNECTIONS: u32 = 256;
-/// Largest request and answer, in bytes.
-const MAX_BYTES: u32 = 2 << 20;
+/// Maximum size of a request and of an answer, in bytes.
+const MAX_BODY_BYTES: u32 = 2 << 20;
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "peers", stage: 10, start })
 }
 
-struct Calls {
+struct Handler {
     context: Arc<Context>,
 }
 
 #[async_trait]
-impl PeersServer for Calls {
+impl PeersServer for Handler {
     async fn exchange(&self, message: Message) -> Result<Message, ErrorObjectOwned> {
         exchange::apply(&self.context, &message);
         Ok(exchange::answer(&self.context, &message))
     }
 
     async fn policy(&self, after: u64) -> Result<Option<Document>, ErrorObjectOwned> {
-        let holder = lock(&self.context.policy_replica);
-        Ok(holder.document().filter(|copy| copy.revision > after).cloned())
+        let replica = lock(&self.context.policy_replica);
+        Ok(replica.document().filter(|document| document.revision > after).cloned())
     }
 
     async fn snapshot(&self) -> Result<Snapshot, ErrorObjectOwned> {
@@ -62,7 +62,7 @@
             return Ok(ClaimStatus::Unknown);
         };
         Ok(match at_most_once::claim_status(&self.context, key) {
-            ledger::acquire::Status::Ran(whole) => ClaimStatus::Ran(whole.as_ref().clone().into()),
+            ledger::acquire::Status::Ran(response) => ClaimStatus::Ran(response.as_ref().clone().into()),
             ledger::acquire::Status::Running => ClaimStatus::Running,
             ledger::acquire::Status::NeverRun => ClaimStatus::NeverRun,
             ledger::acquire::Status::Unknown => ClaimStatus::Unknown,
@@ -85,19 +85,19 @@
     let address = context.settings.fleet.address.clone();
     let config = ServerConfig::builder()
         .max_connections(MAX_CONNECTIONS)
-        .max_request_body_size(MAX_BYTES)
-        .max_response_body_size(MAX_BYTES)
+        .max_request_body_size(MAX_BODY_BYTES)
+        .max_response_body_size(MAX_BODY_BYTES)
         .http_only()
         .build();
-    let calls = Calls { context: Arc::clone(context) };
-    let _inside = context.runtime.enter();
+    let handler = Handler { context: Arc::clone(context) };
+    let _guard = context.runtime.enter();
     let listener = std::net::TcpListener::bind(&address);
-    let built = listener.and_then(|listener| {
+    let server = listener.and_then(|listener| {
         listener.set_nonblocking(true)?;
         jsonrpsee::server::Server::builder().set_config(config).build_from_tcp(listener)
     });
-    let server = built
+    let server = server
         .map_err(|error| format!("key `fleet.address`: cannot listen at {address}: {error}; choose a free address"))?;
-    let handle = server.start(calls.into_rpc());
+    let handle = server.start(handler.into_rpc());
     Ok(Box::new(Port(Some(handle))))
 }
--- a/crates/daemon/tests/view.rs
+++ b/crates/daemon/tests/view.rs
@@ -1,4 +1,4 @@
-//! What is prepared from list, membership and policy, while several of them change at once.
+//! The routing state built from instance list, membership and policy, while several of them change at once.
 
 use std::sync::{Arc, Barrier};
 use std::time::Duration;
@@ -17,8 +17,8 @@
 use fleet::message::{Record, Snapshot, State as Standing};
 use rstest::rstest;
 
-/// Threads that prepare the state anew while a policy comes into force.
-const REFRESHING: usize = 4;
+/// Threads that refresh the routing state while a policy becomes active.
+const REFRESH_THREADS: usize = 4;
 const ROUNDS: u64 = 400;
 const SERVERS: usize = 200;
 
@@ -51,7 +51,7 @@
     Arc::new(context)
 }
 
-/// The policy of a revision: the server `b0` is drained in each second one.
+/// Returns the policy of a revision; even revisions drain the server `b0`.
 fn policy(revision: u64) -> Document {
     let drain = if drained(revision) { "[[drains]]\nscope = \"instance\"\nname = \"b0\"\n" } else { "" };
     Document::new(revision, format!("{POLICY}{drain}"))
@@ -61,16 +61,18 @@
     revision.is_multiple_of(2)
 }
 
+/// Fault: a refresh that runs while a policy becomes active finishes last and restores the servers of the policy
+/// before.
 #[test]
-fn an_older_state_never_follows_a_newer_one() {
-    Policy::parse("policy", &policy(2).text).expect("the policy is good");
-    let runtime = tokio::runtime::Runtime::new().expect("it starts");
+fn an_older_state_never_replaces_a_newer_one() {
+    Policy::parse("policy", &policy(2).text).expect("the policy is valid");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     let context = context(&runtime, (0..SERVERS).map(|number| server(number, "s".to_owned())).collect());
     let mut stale = Vec::new();
     for revision in 1..=ROUNDS {
-        let start = Barrier::new(REFRESHING + 1);
+        let start = Barrier::new(REFRESH_THREADS + 1);
         std::thread::scope(|scope| {
-            for _ in 0..REFRESHING {
+            for _ in 0..REFRESH_THREADS {
                 scope.spawn(|| {
                     start.wait();
                     view::refresh(&context);
@@ -85,16 +87,16 @@
             stale.push(revision);
         }
     }
-    assert_eq!(stale, [0; 0], "revisions whose drain was not in force");
+    assert_eq!(stale, [0; 0], "revisions whose drain had no effect");
 }
 
-/// The policy of a revision: its class and its service are new.
-fn growing(revision: u64) -> Document {
+/// Returns the policy of a revision, whose class and service exist in no other one.
+fn unique_class_policy(revision: u64) -> Document {
     let class = POLICY.replace("classes.lookup", &format!("classes.c{revision}"));
     Document::new(revision, class.replace("\"s\"", &format!("\"s{revision}\"")))
 }
 
-/// Sends a request and ends what it starts; says whether anything was started.
+/// Submits a request and ends the attempt that it starts; returns whether an attempt was started.
 fn send(engine: &mut Engine, request: u64, class: usize, now: Time) -> bool {
     engine.submit(Arrival::new(request, class, request, 10), now);
     let started = engine.take_actions().into_iter().find_map(|action| match action {
@@ -107,26 +109,27 @@
     started.is_some()
 }
 
+/// Fault: a policy becomes active before the engine has the servers of its classes, and requests are refused.
 #[test]
 fn a_class_that_is_in_force_has_its_servers() {
-    let runtime = tokio::runtime::Runtime::new().expect("it starts");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     let servers = (1..=ROUNDS).map(|revision| server(revision as usize, format!("s{revision}"))).collect();
     let context = context(&runtime, servers);
     let refused = std::thread::scope(|scope| {
-        let asking = scope.spawn(|| {
+        let caller = scope.spawn(|| {
             let mut refused = Vec::new();
             let mut seen = 0;
             while seen < ROUNDS {
-                let in_force = context.policy();
-                if in_force.revision == seen {
+                let active = context.policy();
+                if active.revision == seen {
                     std::hint::spin_loop();
                     continue;
                 }
-                seen = in_force.revision;
-                let class = in_force.class_position(&format!("c{seen}")).expect("it is in force");
+                seen = active.revision;
+                let class = active.class_position(&format!("c{seen}")).expect("the active policy has the class");
                 let started =
                     context.driver.with_engine_mut(&context, |engine| send(engine, seen, class, context.now()));
-                // A class that went out of force meanwhile may get no work.
+                // A class may be refused if its policy was replaced meanwhile.
                 if !started && context.policy().revision == seen {
                     refused.push(seen);
                 }
@@ -134,17 +137,17 @@
             refused
         });
         for revision in 1..=ROUNDS {
-            assert!(policies::apply(&context, growing(revision), "test"));
+            assert!(policies::apply(&context, unique_class_policy(revision), "test"));
         }
-        asking.join().expect("a request of a class in force is no fault")
+        caller.join().expect("requests of an active class do not panic")
     });
     assert_eq!(refused, [0; 0], "revisions whose class had no server yet");
 }
 
-/// Load: a large fleet in which nothing changes. Going through all of it a few times a second cost more than the work.
+/// Load: a large fleet in which nothing changes. Rebuilding the state a few times a second cost more than the requests.
 #[test]
-fn the_state_is_prepared_anew_once_something_changed_and_only_then() {
-    let runtime = tokio::runtime::Runtime::new().expect("it starts");
+fn the_state_is_rebuilt_after_a_change_and_only_then() {
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     let mut servers: Vec<Instance> = (0..9).map(|number| server(number, "s".to_owned())).collect();
     let entry = Instance { name: "e2".to_owned(), role: Role::Entry, ..server(100, String::new()) };
     servers.push(entry);
@@ -161,9 +164,9 @@
     let known = context.driver.with_engine(|engine| engine.backends().count());
     assert_eq!((backends(&context), known), (8, 8), "a server left the list");
 
-    let gone = Record { name: "e2".to_owned(), state: Standing::Left, ..lock(&context.roster).own().clone() };
+    let left = Record { name: "e2".to_owned(), state: Standing::Left, ..lock(&context.roster).own().clone() };
     lock(&context.roster).merge_snapshot(
-        &Snapshot { records: vec![gone], policy: None, leaving: Vec::new(), has_mirror: false },
+        &Snapshot { records: vec![left], policy: None, leaving: Vec::new(), has_mirror: false },
         context.now(),
     );
     view::refresh(&context);
@@ -172,13 +175,14 @@
     assert_eq!(standing, Some(steer::view::Standing::Out), "a member left");
 }
 
-/// Load: a store that changes all the time. Calls are paid for, and a change must not wait for seconds.
+/// Load: a store that changes all the time. Each call costs money, so calls are batched, but a change must not wait for
+/// seconds.
 #[rstest]
-#[case::alone(1, 100)]
+#[case::single(1, 100)]
 #[case::a_few(7, 140)]
 #[case::more(25, 500)]
 #[case::many(300, 500)]
-fn a_larger_fleet_gathers_changes_for_longer(#[case] daemons: usize, #[case] ms: u64) {
-    let gathered = daemon::mirror::batch_delay(daemons);
-    assert_eq!(gathered, Duration::from_millis(ms));
+fn a_larger_fleet_batches_changes_for_longer(#[case] watchers: usize, #[case] ms: u64) {
+    let delay = daemon::mirror::batch_delay(watchers);
+    assert_eq!(delay, Duration::from_millis(ms));
 }
