--- a/crates/daemon/src/at_most_once.rs
+++ b/crates/daemon/src/at_most_once.rs
@@ -132,7 +132,7 @@
         Call::Write(expect) => write_claim(context, request, &name, expect),
         Call::Read => read_claim(context, &name),
         Call::Ask(claim, revision) => {
-            let status = peers::client::word(context, &claim.peer_address, claim.incarnation, request.key);
+            let status = peers::client::claim_status(context, &claim.peer_address, claim.incarnation, request.key);
             return Reply::Status(status, revision);
         }
     };
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -28,11 +28,11 @@
 use crate::driver::Driver;
 use crate::instance_list::{List, ServerEntries};
 use crate::metrics::Metrics;
-use crate::mirror::Learning;
+use crate::mirror::SyncState;
 use crate::peers;
 use crate::policies::ActivePolicy;
 use crate::response::Response;
-use crate::view::{Prepared, Preparing, Steering};
+use crate::view::{Inputs, RefreshState, Steering};
 
 /// Most idempotency keys of sessions that the ledger holds.
 const MAX_SESSION_KEYS: usize = 65_536;
@@ -74,7 +74,7 @@
     /// Copy of the store's keys; stays empty without a catalog.
     pub mirror: Mutex<store::Mirror>,
     /// How that copy is kept up to date.
-    pub mirror_sync: Learning,
+    pub mirror_sync: SyncState,
     /// Backend servers as last read from that copy, beside `instance_list`, and what was skipped.
     pub catalog_state: Mutex<CatalogState>,
     /// The policy document in force, as peers may fetch it.
@@ -92,7 +92,7 @@
     /// State that look-ups and dispatch read; replaced as a whole.
     pub steering: RwLock<Arc<Steering>>,
     /// Locked while `steering` is prepared, so that an older state never replaces a newer one.
-    pub preparing: Mutex<Preparing>,
+    pub preparing: Mutex<RefreshState>,
     /// Instances that the platform lists.
     pub instance_list: Mutex<List>,
     /// Memory budget for backend servers' answers that are being read.
@@ -151,7 +151,7 @@
             dialect: Arc::new(adapter.dialect),
             catalog: adapter.catalog,
             mirror: Mutex::new(store::Mirror::new()),
-            mirror_sync: Learning::new(),
+            mirror_sync: SyncState::new(),
             catalog_state: Mutex::new(CatalogState::default()),
             stall_detector: Mutex::new(stall::Detector::new(now)),
             clock,
@@ -162,11 +162,11 @@
             policy_replica: Mutex::new(Replica::new()),
             active_policy: RwLock::new(Arc::new(ActivePolicy::new(0, Policy::default()))),
             roster: Mutex::new(Roster::new(record, timeouts, incarnation)),
-            gossip_limiter: Mutex::new(peers::telling(now)),
+            gossip_limiter: Mutex::new(peers::gossip_limiter(now)),
             grant_manager: Mutex::new(Manager::new()),
             shift_controller: Mutex::new(Controller::new(0, answer_ttl, now)),
             steering: RwLock::new(Arc::new(Steering::default())),
-            preparing: Mutex::new(Preparing::default()),
+            preparing: Mutex::new(RefreshState::default()),
             instance_list: Mutex::new(List::default()),
             answer_memory: Budget::new(settings.dispatch.answers_bytes as usize),
             pool: Pool::new(),
@@ -203,8 +203,8 @@
     }
 
     /// Returns what the state in `steering` was prepared from.
-    pub fn prepared(&self) -> Prepared {
-        lock(&self.preparing).rests_on
+    pub fn prepared(&self) -> Inputs {
+        lock(&self.preparing).inputs
     }
 
     /// Replaces the state that look-ups and dispatch read.
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -130,7 +130,7 @@
 /// of their revisions.
 fn activate(context: &Arc<Context>, revision: u64, policy: Policy) {
     let next = ActivePolicy::replacing(&context.policy(), revision, policy);
-    view::adopt(context, Arc::new(next));
+    view::activate(context, Arc::new(next));
     context.metrics.policy_revision.set(revision as i64);
 }
 
