--- a/crates/daemon/src/callers/connection.rs
+++ b/crates/daemon/src/callers/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: requests are read ahead and run side by side, and answered in their order.
+//! One caller connection: pipelined requests are read ahead, run concurrently and answered in order of arrival.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -21,127 +21,130 @@
 use super::{forward, route};
 use crate::Context;
 
-/// Requests of one connection that run at once.
-const PIPELINED: usize = 16;
-/// Room made for each read, in bytes.
+/// Maximum number of requests of one connection that run concurrently.
+const MAX_PIPELINED: usize = 16;
+/// Buffer space reserved before each read, in bytes.
 const READ_BYTES: usize = 4_096;
-/// Bytes read ahead of the requests that run, at most.
-const AHEAD_BYTES: usize = 65_536;
-/// Bytes of answers that a caller has not taken yet, beyond which none of its further requests is begun.
-const UNTAKEN_BYTES: usize = 65_536;
-/// Time for a caller to take the last answer before the connection is dropped.
-const LINGER: Duration = Duration::from_secs(2);
+/// Unparsed input, in bytes, beyond which no more is read from the socket.
+const MAX_READ_AHEAD_BYTES: usize = 65_536;
+/// Unsent reply bytes beyond which no further request of this connection is started.
+const MAX_UNSENT_BYTES: usize = 65_536;
+/// How long a caller may take to read the last reply and close before the connection is dropped.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A whole request.
+/// A complete request from a caller.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Its head.
+    /// The request line and headers.
     pub head: head::Request,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
-    /// Where it came from.
+    /// The IP address of the connected caller.
     pub peer: IpAddr,
 }
 
-/// An answer with what it answers.
-struct Answered {
+/// A reply that is ready to be written.
+struct ReadyReply {
+    /// The request's method: a reply to `HEAD` has no body.
     method: Method,
     reply: Reply,
+    /// Whether the connection ends after this reply.
     last: bool,
 }
 
-/// How far a planned stop has come.
+/// The progress of a planned shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// None is under way.
+    /// No shutdown is in progress.
     Open,
-    /// Callers are asked to go elsewhere; what they still send is served.
+    /// Replies ask callers to reconnect elsewhere; requests that still arrive are served.
     Leaving,
-    /// No new work is taken.
+    /// The ports stop accepting connections, and idle connections are closed.
     Closing,
 }
 
-/// A request as far as it could be read.
-enum Step {
+/// What to do for one request that was read.
+enum Job {
     Run(Box<Incoming>),
     Refuse(Kind),
 }
 
-/// A request whose body is still coming.
+/// A request whose head was parsed and whose body is incomplete.
 struct Partial {
     head: head::Request,
     decoder: Decoder,
     body: BytesMut,
 }
 
-/// What the next bytes came to.
+/// The result of parsing the buffered input.
 enum Parsed {
     Request(head::Request, Bytes),
     Refused(Kind),
     /// More bytes are needed.
-    More,
+    Incomplete,
 }
 
-/// Reads requests off a buffer.
-struct Reader {
+/// Parses requests from a buffer, within the configured limits.
+struct Parser {
     max_head: usize,
     max_body: u64,
-    chunked: bool,
+    /// Whether request bodies with `Transfer-Encoding` are accepted.
+    allow_chunked: bool,
     partial: Option<Partial>,
-    /// Set when the caller waits for a word before it sends its body.
-    expects: bool,
+    /// Set while the caller waits for `100 Continue` before it sends its body.
+    expects_continue: bool,
 }
 
-impl Reader {
+impl Parser {
     fn next(&mut self, buffer: &mut BytesMut) -> Parsed {
         match self.try_next(buffer) {
             Ok(Some((head, body))) => Parsed::Request(head, body),
-            Ok(None) => Parsed::More,
+            Ok(None) => Parsed::Incomplete,
             Err(kind) => Parsed::Refused(kind),
         }
     }
 
     fn try_next(&mut self, buffer: &mut BytesMut) -> Result<Option<(head::Request, Bytes)>, Kind> {
         if self.partial.is_none() {
-            let Some(head) = head::Request::take(buffer, self.max_head).map_err(kind)? else {
+            let Some(head) = head::Request::take(buffer, self.max_head).map_err(error_kind)? else {
                 return Ok(None);
             };
-            self.partial = Some(self.start(head)?);
+            self.partial = Some(self.start_body(head)?);
         }
         let Some(partial) = &mut self.partial else { return Ok(None) };
-        while let Some(part) = partial.decoder.take(buffer).map_err(kind)? {
-            if partial.body.len() as u64 + part.len() as u64 > self.max_body {
+        while let Some(chunk) = partial.decoder.take(buffer).map_err(error_kind)? {
+            if partial.body.len() as u64 + chunk.len() as u64 > self.max_body {
                 return Err(Kind::BodyTooLarge);
             }
-            partial.body.extend_from_slice(&part);
+            partial.body.extend_from_slice(&chunk);
         }
         if !partial.decoder.ended() {
             return Ok(None);
         }
-        self.expects = false;
+        self.expects_continue = false;
         Ok(self.partial.take().map(|partial| (partial.head, partial.body.freeze())))
     }
 
-    fn start(&mut self, head: head::Request) -> Result<Partial, Kind> {
+    fn start_body(&mut self, head: head::Request) -> Result<Partial, Kind> {
         let framing = Framing::of_request(&head.headers);
-        if head.headers.contains_key(TRANSFER_ENCODING) && !self.chunked {
+        if head.headers.contains_key(TRANSFER_ENCODING) && !self.allow_chunked {
             return Err(Kind::LengthRequired);
         }
-        let framing = framing.map_err(kind)?;
+        let framing = framing.map_err(error_kind)?;
         if matches!(framing, Framing::Length(length) if length > self.max_body) {
             return Err(Kind::BodyTooLarge);
         }
-        self.expects = head.headers.contains_key(EXPECT);
+        self.expects_continue = head.headers.contains_key(EXPECT);
         Ok(Partial { head, decoder: Decoder::new(framing), body: BytesMut::new() })
     }
 
-    /// Whether a request has begun and is not whole.
-    fn begun(&self, buffer: &BytesMut) -> bool {
+    /// Whether part of a request has arrived.
+    fn has_partial(&self, buffer: &BytesMut) -> bool {
         self.partial.is_some() || !buffer.is_empty()
     }
 }
 
-fn kind(error: h1::Error) -> Kind {
+fn error_kind(error: h1::Error) -> Kind {
     match error {
         h1::Error::Ambiguous => Kind::AmbiguousFraming,
         h1::Error::BodyTooLarge => Kind::BodyTooLarge,
@@ -149,66 +152,69 @@
     }
 }
 
-async fn answer(context: Arc<Context>, step: Step) -> Answered {
-    match step {
-        Step::Run(incoming) => {
+async fn handle(context: Arc<Context>, job: Job) -> ReadyReply {
+    match job {
+        Job::Run(incoming) => {
             let (method, keep_alive) = (incoming.head.method.clone(), incoming.head.keep_alive);
             let reply = route(&context, *incoming).await;
-            Answered { method, last: !keep_alive || reply.close, reply }
+            ReadyReply { method, last: !keep_alive || reply.close, reply }
+        }
+        Job::Refuse(kind) => {
+            ReadyReply { method: Method::GET, reply: Reply::error(kind, &context.dialect), last: true }
         }
-        Step::Refuse(kind) => Answered { method: Method::GET, reply: Reply::error(kind, &context.dialect), last: true },
     }
 }
 
-/// A connection with its requests under way; `F` is the answering of one of them.
+/// A connection and its requests in progress. `R` starts the handling of a request, `F` is the future it returns.
 struct Connection<R, F: Future> {
     context: Arc<Context>,
-    run: R,
+    handler: R,
     peer: IpAddr,
-    reader: Reader,
+    parser: Parser,
     input: BytesMut,
     output: BytesMut,
-    /// A request that must not run twice and waits for the answers before it.
-    held: Option<Incoming>,
-    answers: FuturesOrdered<F>,
-    /// No further request is taken.
+    /// A non-idempotent request that waits until all earlier replies are ready.
+    deferred: Option<Incoming>,
+    /// Replies of the running requests, in order of arrival.
+    replies: FuturesOrdered<F>,
+    /// Set once no further request is read; the connection ends when the remaining replies are written.
     closing: bool,
-    /// When the request that is coming must be whole, or an idle connection ends.
-    due: Instant,
-    /// When the caller last took bytes of an answer, or the first of them was written for it.
-    taken: Instant,
+    /// When a partial request must be complete; for an idle connection, when it is closed.
+    read_deadline: Instant,
+    /// When bytes were last sent, or when the first bytes were added to an empty output buffer.
+    last_write: Instant,
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 pub async fn serve(context: Arc<Context>, mut stream: TcpStream, peer: IpAddr, mut stop: watch::Receiver<Phase>) {
-    let mut connection = Connection::new(context, peer, answer);
+    let mut connection = Connection::new(context, peer, handle);
     let (mut reader, mut writer) = stream.split();
     loop {
-        connection.take_requests(*stop.borrow() == Phase::Closing);
-        if connection.done() {
+        connection.start_requests(*stop.borrow() == Phase::Closing);
+        if connection.is_finished() {
             break;
         }
-        let room = connection.input.len() < AHEAD_BYTES;
+        let may_read = connection.input.len() < MAX_READ_AHEAD_BYTES;
         connection.input.reserve(READ_BYTES);
-        let limit = connection.limit();
+        let deadline = connection.next_deadline();
         tokio::select! {
-            Some(answered) = connection.answers.next(), if !connection.answers.is_empty() => {
-                connection.write(&answered, *stop.borrow() >= Phase::Leaving);
+            Some(ready) = connection.replies.next(), if !connection.replies.is_empty() => {
+                connection.write(&ready, *stop.borrow() >= Phase::Leaving);
             }
-            read = reader.read_buf(&mut connection.input), if room => match read {
+            read = reader.read_buf(&mut connection.input), if may_read => match read {
                 Ok(bytes) if bytes > 0 => {}
-                // The caller has left: what runs for it is given up.
+                // The caller disconnected: dropping the connection abandons its running requests.
                 Ok(_) | Err(_) => return,
             },
             written = writer.write_buf(&mut connection.output), if !connection.output.is_empty() => {
                 if !written.is_ok_and(|bytes| bytes > 0) {
                     return;
                 }
-                connection.taken = Instant::now();
+                connection.last_write = Instant::now();
             }
-            () = tokio::time::sleep_until(limit.unwrap_or(connection.due)), if limit.is_some() => {
+            () = tokio::time::sleep_until(deadline.unwrap_or(connection.read_deadline)), if deadline.is_some() => {
                 if !connection.output.is_empty() {
-                    return log::info!("callers: connection dropped, the caller takes no answer");
+                    return log::info!("callers: connection dropped, the caller does not read its answer");
                 }
                 connection.expire();
             }
@@ -218,145 +224,147 @@
     linger(&mut stream).await;
 }
 
-/// Lets the caller take the last answer: closing at once could reset the connection before it is read.
+/// Shuts down sending and waits for the caller to close: closing at once could reset the connection before the caller
+/// has read the last reply.
 async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
-    let mut rest = [0; 512];
-    let drained = async { while stream.read(&mut rest).await.is_ok_and(|bytes| bytes > 0) {} };
-    if tokio::time::timeout(LINGER, drained).await.is_err() {
+    let mut discarded = [0; 512];
+    let drained = async { while stream.read(&mut discarded).await.is_ok_and(|bytes| bytes > 0) {} };
+    if tokio::time::timeout(LINGER_TIMEOUT, drained).await.is_err() {
         log::debug!("callers: connection dropped, the caller did not close");
     }
 }
 
 impl<R, F> Connection<R, F>
 where
-    R: Fn(Arc<Context>, Step) -> F,
-    F: Future<Output = Answered>,
+    R: Fn(Arc<Context>, Job) -> F,
+    F: Future<Output = ReadyReply>,
 {
-    fn new(context: Arc<Context>, peer: IpAddr, run: R) -> Self {
+    fn new(context: Arc<Context>, peer: IpAddr, handler: R) -> Self {
         let settings = &context.settings.callers;
-        let reader = Reader {
+        let parser = Parser {
             max_head: settings.max_header_bytes as usize,
             max_body: settings.max_body_bytes,
-            chunked: settings.chunked_bodies,
+            allow_chunked: settings.chunked_bodies,
             partial: None,
-            expects: false,
+            expects_continue: false,
         };
-        let due = Instant::now() + Duration::from_millis(settings.header_timeout_ms);
+        let read_deadline = Instant::now() + Duration::from_millis(settings.header_timeout_ms);
         Self {
             context,
-            run,
+            handler,
             peer,
-            reader,
+            parser,
             input: BytesMut::new(),
             output: BytesMut::new(),
-            held: None,
-            answers: FuturesOrdered::new(),
+            deferred: None,
+            replies: FuturesOrdered::new(),
             closing: false,
-            due,
-            taken: due,
+            read_deadline,
+            last_write: read_deadline,
         }
     }
 
-    /// Whether the connection has nothing more to do.
-    fn done(&self) -> bool {
-        self.closing && self.answers.is_empty() && self.output.is_empty()
+    /// Whether all replies are written and no further request is read.
+    fn is_finished(&self) -> bool {
+        self.closing && self.replies.is_empty() && self.output.is_empty()
     }
 
-    /// Until when something must happen: the caller takes what is written, or sends more.
-    fn limit(&self) -> Option<Instant> {
+    /// When the connection times out if the caller neither reads nor sends anything; `None` while only requests run.
+    fn next_deadline(&self) -> Option<Instant> {
         if !self.output.is_empty() {
-            return Some(self.taken + Duration::from_millis(self.context.settings.callers.idle_timeout_ms));
+            return Some(self.last_write + Duration::from_millis(self.context.settings.callers.idle_timeout_ms));
         }
-        self.answers.is_empty().then_some(self.due)
+        self.replies.is_empty().then_some(self.read_deadline)
     }
 
-    /// Whether nothing of a further request has come.
-    fn quiet(&self) -> bool {
-        self.held.is_none() && !self.reader.begun(&self.input)
+    /// Whether no part of a further request has been received.
+    fn no_further_input(&self) -> bool {
+        self.deferred.is_none() && !self.parser.has_partial(&self.input)
     }
 
-    /// Starts what has come whole.
-    fn take_requests(&mut self, stopping: bool) {
-        while !self.closing && self.answers.len() < PIPELINED && self.output.len() < UNTAKEN_BYTES {
-            if let Some(held) = self.held.take() {
-                self.start(held);
-                if self.held.is_some() {
+    /// Starts the requests that were received completely, within the limits of the connection.
+    fn start_requests(&mut self, stopping: bool) {
+        while !self.closing && self.replies.len() < MAX_PIPELINED && self.output.len() < MAX_UNSENT_BYTES {
+            if let Some(deferred) = self.deferred.take() {
+                self.start(deferred);
+                if self.deferred.is_some() {
                     return;
                 }
                 continue;
             }
-            let begun = self.reader.begun(&self.input);
-            match self.reader.next(&mut self.input) {
-                Parsed::More => {
-                    self.note_waiting(begun);
-                    self.closing |= stopping && self.quiet() && self.answers.is_empty();
+            let was_partial = self.parser.has_partial(&self.input);
+            match self.parser.next(&mut self.input) {
+                Parsed::Incomplete => {
+                    self.wait_for_input(was_partial);
+                    self.closing |= stopping && self.no_further_input() && self.replies.is_empty();
                     return;
                 }
                 Parsed::Refused(kind) => {
                     self.closing = true;
-                    self.push(Step::Refuse(kind));
+                    self.push(Job::Refuse(kind));
                 }
                 Parsed::Request(head, body) => self.start(Incoming { head, body, peer: self.peer }),
             }
         }
     }
 
-    /// Sets the time by which more must come.
-    fn note_waiting(&mut self, begun_before: bool) {
+    /// Sends `100 Continue` if the caller expects it, and sets the read deadline when a new request has begun.
+    fn wait_for_input(&mut self, was_partial: bool) {
         let settings = &self.context.settings.callers;
-        if self.reader.expects {
+        if self.parser.expects_continue {
             self.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
-            self.reader.expects = false;
+            self.parser.expects_continue = false;
         }
-        if self.reader.begun(&self.input) && !begun_before {
-            let body = self.reader.partial.is_some();
-            let wait = if body { settings.body_timeout_ms } else { settings.header_timeout_ms };
-            self.due = Instant::now() + Duration::from_millis(wait);
+        if self.parser.has_partial(&self.input) && !was_partial {
+            let in_body = self.parser.partial.is_some();
+            let wait = if in_body { settings.body_timeout_ms } else { settings.header_timeout_ms };
+            self.read_deadline = Instant::now() + Duration::from_millis(wait);
         }
     }
 
-    /// Starts a request. One that must not run twice waits for the answers before it: should the connection end
-    /// with one of them, the caller may send it again.
+    /// Starts a request. A non-idempotent one is deferred until the earlier replies are ready: if one of them ends the
+    /// connection, the caller may send the request again.
     fn start(&mut self, incoming: Incoming) {
-        if !self.answers.is_empty() && !forward::repeatable(&self.context, &incoming.head) {
-            self.held = Some(incoming);
+        if !self.replies.is_empty() && !forward::is_idempotent(&self.context, &incoming.head) {
+            self.deferred = Some(incoming);
             return;
         }
         self.closing |= !incoming.head.keep_alive;
-        self.push(Step::Run(Box::new(incoming)));
+        self.push(Job::Run(Box::new(incoming)));
     }
 
-    fn push(&mut self, step: Step) {
-        self.answers.push_back((self.run)(Arc::clone(&self.context), step));
+    fn push(&mut self, job: Job) {
+        self.replies.push_back((self.handler)(Arc::clone(&self.context), job));
     }
 
-    /// Writes an answer; while stopping, the last one says that the connection ends.
-    fn write(&mut self, answered: &Answered, stopping: bool) {
+    /// Adds a reply to the output. While stopping, the last one announces that the connection closes.
+    fn write(&mut self, ready: &ReadyReply, stopping: bool) {
         if self.output.is_empty() {
-            self.taken = Instant::now();
+            self.last_write = Instant::now();
         }
-        let last = answered.last || (stopping && self.answers.is_empty() && self.quiet());
-        answered.reply.write(&mut self.output, &answered.method, last);
+        let last = ready.last || (stopping && self.replies.is_empty() && self.no_further_input());
+        ready.reply.write(&mut self.output, &ready.method, last);
         if last {
             self.closing = true;
-            // Requests behind the last answer count as not read; those that run are given up.
-            self.answers.clear();
-            self.held = None;
+            // Requests after the last reply count as not read; those already running are abandoned.
+            self.replies.clear();
+            self.deferred = None;
         }
         let idle = Duration::from_millis(self.context.settings.callers.idle_timeout_ms);
-        self.due = Instant::now() + idle;
+        self.read_deadline = Instant::now() + idle;
     }
 
-    /// A caller that began a request and did not finish it in time is told; an idle one is not.
+    /// Handles the read deadline: answers a request whose body is incomplete with an error. A connection that is idle, or
+    /// has sent only part of a head, is closed without a reply.
     fn expire(&mut self) {
         self.closing = true;
-        if self.reader.partial.is_some() {
+        if self.parser.partial.is_some() {
             Reply::error(Kind::SlowSender, &self.context.dialect).write(&mut self.output, &Method::GET, true);
         }
         self.input.clear();
-        self.reader.partial = None;
+        self.parser.partial = None;
     }
 }
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -1,4 +1,4 @@
-//! Requests for classes of work: dispatch, and the answer.
+//! Requests for classes of work: dispatches them and answers the caller.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,15 +19,15 @@
 use crate::driver::{Outcome, Outgoing, Submission};
 use crate::orders::{self, Order};
 
-/// Names an order; repeated on each re-send of it.
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Names the session that a key belongs to; repeated with the key.
-const SESSION: HeaderName = HeaderName::from_static("idempotency-session");
+/// Identifies an order; the same on each retry of it.
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// Identifies the session that a key belongs to; repeated with the key on each retry.
+const IDEMPOTENCY_SESSION: HeaderName = HeaderName::from_static("idempotency-session");
 /// Longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Answers a request for a class of work.
-pub async fn answer(context: &Arc<Context>, incoming: Incoming) -> Reply {
+/// Handles a request for a class of work: dispatches it, records metrics and logs the result.
+pub async fn handle(context: &Arc<Context>, incoming: Incoming) -> Reply {
     let start = context.now();
     let id = request_id(context, &incoming.head.headers);
     let (class, outcome) = run(context, incoming, &id, start).await;
@@ -39,26 +39,27 @@
         let latency = context.now().since(start);
         context.metrics.requests.with_label_values(&[&class, result]).inc();
         context.metrics.latency.with_label_values(&[&class]).observe(latency.as_secs_f64());
-        note_burn(context, &class, &outcome, latency);
-        let status = outcome.as_ref().map_or(0, |whole| whole.status.as_u16());
+        record_burn(context, &class, &outcome, latency);
+        let status = outcome.as_ref().map_or(0, |response| response.status.as_u16());
         log::info!(request = id.as_str(), class, result, status, ms:% = latency.as_millis(); "callers: answered");
     } else {
         log::info!(request = id.as_str(), result; "callers: refused");
     }
     match outcome {
-        Ok(whole) => Reply::whole(&whole, &context.dialect),
+        Ok(response) => Reply::from_response(&response, &context.dialect),
         Err(refusal) => Reply::refusal(refusal, &context.dialect),
     }
 }
 
-/// Whether a request may run twice without harm.
-pub fn repeatable(context: &Context, head: &head::Request) -> bool {
+/// Whether a request may safely run more than once. A request without a class runs nowhere and counts as idempotent.
+pub fn is_idempotent(context: &Context, head: &head::Request) -> bool {
     let in_force = context.policy();
     let class = in_force.policy.class_of(host(&head.headers), head.path());
     class.is_none_or(|(_, class)| class.idempotent)
 }
 
-/// The class of a request, if it has one, and what became of it.
+/// Finds the class of a request and dispatches it. Returns the name of the class, if the request has one, and the
+/// outcome.
 async fn run(context: &Arc<Context>, incoming: Incoming, id: &str, now: Time) -> (Option<String>, Outcome) {
     let in_force = context.policy();
     if in_force.policy.regions.is_empty() {
@@ -76,19 +77,19 @@
     if class.closed {
         return (Some(name), Err(Kind::NoBackend.into()));
     }
-    let outcome = dispatch(context, Choice { class: position, idempotent }, incoming, id, now).await;
+    let outcome = dispatch(context, ClassMatch { position, idempotent }, incoming, id, now).await;
     (Some(name), outcome)
 }
 
-/// The class of a request.
+/// The class that a request matched, by its position in the policy.
 #[derive(Debug, Clone, Copy)]
-struct Choice {
-    class: usize,
+struct ClassMatch {
+    position: usize,
     idempotent: bool,
 }
 
-async fn dispatch(context: &Arc<Context>, choice: Choice, incoming: Incoming, id: &str, now: Time) -> Outcome {
-    let Choice { class, idempotent } = choice;
+async fn dispatch(context: &Arc<Context>, class: ClassMatch, incoming: Incoming, id: &str, now: Time) -> Outcome {
+    let ClassMatch { position, idempotent } = class;
     let Incoming { head, body, .. } = incoming;
     let fingerprint = fingerprint(head.method.as_str(), &head.target, &body);
     let keyed = !idempotent && context.dialect.once == Once::Key;
@@ -96,14 +97,14 @@
     if let Some(order) = &order {
         match orders::begin(context, order) {
             Step::Claim | Step::Run => {}
-            Step::Replay(whole) => {
+            Step::Replay(response) => {
                 context.metrics.replays.inc();
-                return Ok(whole);
+                return Ok(response);
             }
             Step::Refuse(kind) => return Err(kind.into()),
         }
     }
-    let submission = submission(context, class, fingerprint, &head.headers);
+    let submission = submission(context, position, fingerprint, &head.headers);
     let object = context.dialect.object.as_ref().and_then(|name| head::text(&head.headers, name)).unwrap_or("-");
     let outgoing = Arc::new(Outgoing {
         number: context.driver.number(),
@@ -111,7 +112,7 @@
         object: object.to_owned(),
         method: head.method,
         target: head.target,
-        headers: passed(context, &head.headers),
+        headers: forwarded_headers(context, &head.headers),
         body,
         gives_up: submission.limit.map(|limit| now + limit),
         idempotent,
@@ -120,13 +121,13 @@
     if outgoing.order.is_some() {
         return run_order(context, outgoing, submission).await;
     }
-    let mut guard = Guard { context: Arc::clone(context), request: Some(outgoing.number) };
+    let mut guard = AbandonGuard { context: Arc::clone(context), request: Some(outgoing.number) };
     let outcome = context.driver.submit(context, outgoing, submission).await;
     guard.request = None;
     outcome.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
-/// Runs an order to its end, also when its caller goes away: the answer is kept for the re-send.
+/// Runs an order to completion even if its caller disconnects: the answer is kept for a retry.
 async fn run_order(context: &Arc<Context>, outgoing: Arc<Outgoing>, submission: Submission) -> Outcome {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
@@ -139,19 +140,19 @@
     task.await.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
-/// The name of a request in logs: the caller's id of this send, or a new one.
+/// The id of a request in logs: the one that the caller gave to this send, or a new one.
 fn request_id(context: &Context, headers: &HeaderMap) -> String {
     let given = head::text(headers, &context.dialect.request_id).filter(|_| context.dialect.callers_id);
     given.map_or_else(|| format!("{:08x}-{}", context.incarnation as u32, context.driver.number()), str::to_owned)
 }
 
-/// Abandons a request whose caller went away.
-struct Guard {
+/// Abandons a request when it is dropped before the outcome is known, which happens when the caller disconnects.
+struct AbandonGuard {
     context: Arc<Context>,
     request: Option<u64>,
 }
 
-impl Drop for Guard {
+impl Drop for AbandonGuard {
     fn drop(&mut self) {
         if let Some(request) = self.request {
             self.context.driver.abandon(&self.context, request);
@@ -172,11 +173,11 @@
 }
 
 fn order(context: &Context, headers: &HeaderMap, fingerprint: u64) -> Result<Order, Kind> {
-    let key = head::text(headers, &KEY).filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
+    let key = head::text(headers, &IDEMPOTENCY_KEY).filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     let key = key.ok_or(Kind::KeyMissing)?;
-    let session = head::text(headers, &SESSION);
+    let session = head::text(headers, &IDEMPOTENCY_SESSION);
     if session.is_some_and(|session| session != context.session()) {
-        // Only the incarnation that the session belongs to knows whether the key ran.
+        // Only the incarnation that owns the session has a record of whether the key ran.
         return Err(Kind::AlreadyClaimed);
     }
     Ok(Order {
@@ -192,39 +193,40 @@
     hash::pair(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
 }
 
-/// The host that a request names, without its port.
+/// The host that the request's `Host` header names, without the port; empty if the header is missing.
 fn host(headers: &HeaderMap) -> &str {
     let host = head::text(headers, &HOST).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
-/// Headers that concern the backend server.
-fn passed(context: &Context, headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
-    let kept = |name: &HeaderName| {
+/// The caller's headers that are forwarded to the backend server: all but those that frame the body, apply to one hop
+/// or are set by the daemon.
+fn forwarded_headers(context: &Context, headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
+    let is_forwarded = |name: &HeaderName| {
         let framing = *name == CONTENT_LENGTH || *name == EXPECT;
         !framing && !head::is_hop(name.as_str()) && !context.dialect.sets(name)
     };
-    for (name, value) in headers.iter().filter(|(name, _)| kept(name)) {
-        passed.append(name, value.clone());
+    for (name, value) in headers.iter().filter(|(name, _)| is_forwarded(name)) {
+        forwarded.append(name, value.clone());
     }
-    passed
+    forwarded
 }
 
-/// Counts an answer against its class's target; errors of the caller do not count.
-fn note_burn(context: &Context, class: &str, outcome: &Outcome, latency: Duration) {
+/// Records whether an answer met its class's target; errors of the caller do not count.
+fn record_burn(context: &Context, class: &str, outcome: &Outcome, latency: Duration) {
     let in_force = context.policy();
     let Some(target) = in_force.policy.classes.get(class) else {
         return;
     };
-    let own_fault = match outcome {
-        Ok(whole) => whole.status.is_server_error(),
+    let server_fault = match outcome {
+        Ok(response) => response.status.is_server_error(),
         Err(refusal) => refusal.kind.answer().status >= 500 || refusal.kind == Kind::AlreadyClaimed,
     };
-    if outcome.is_err() && !own_fault {
+    if outcome.is_err() && !server_fault {
         return;
     }
-    let good = !own_fault && latency <= Duration::from_millis(target.target_ms);
+    let good = !server_fault && latency <= Duration::from_millis(target.target_ms);
     let now = context.now();
     lock(&context.burn).entry(class.to_owned()).or_default().note(good, now);
 }
--- a/crates/daemon/src/callers/lookup.rs
+++ b/crates/daemon/src/callers/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups: which entry instances a caller should use.
+//! Look-ups: selects the entry instances that a caller should use.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use super::reply::Reply;
 use crate::Context;
 
-/// The path of look-ups.
+/// The request path of look-ups.
 pub const PATH: &str = "/lookup";
 
 #[derive(Debug, Serialize)]
@@ -27,20 +27,20 @@
     session: String,
 }
 
-/// Answers a look-up; `query` may name the caller's address as `client=`, or its `region=`, which is answered
-/// with the addresses alone.
-pub fn answer(context: &Arc<Context>, query: Option<&str>, peer: IpAddr) -> Reply {
-    if let Some(region) = parameter(query, "region") {
-        return near(context, region);
+/// Handles a look-up. `query` may give the caller's address as `client=` (by default that of the connected peer) or the
+/// caller's region as `region=`; a look-up by region returns only addresses.
+pub fn handle(context: &Arc<Context>, query: Option<&str>, peer: IpAddr) -> Reply {
+    if let Some(region) = query_parameter(query, "region") {
+        return handle_region(context, region);
     }
-    let Some(address) = address(query, peer) else {
+    let Some(address) = caller_address(query, peer) else {
         return Reply::error(Kind::Malformed, &context.dialect);
     };
     context.metrics.lookups.inc();
     let steering = context.steering();
     let in_force = context.policy();
-    let most = context.settings.callers.answer_entries as usize;
-    let found = steer::answer::look_up(&steering.table, &steering.view, &steering.shares, address, most);
+    let limit = context.settings.callers.answer_entries as usize;
+    let found = steer::answer::look_up(&steering.table, &steering.view, &steering.shares, address, limit);
     let entries = found.positions().iter().filter_map(|position| steering.view.entry(*position));
     let entries: Vec<Entry<'_>> =
         entries.map(|entry| Entry { instance: &entry.name, address: &entry.address }).collect();
@@ -63,13 +63,13 @@
     ttl_s: u64,
 }
 
-/// Entry instances for a caller in `region`.
-fn near(context: &Arc<Context>, region: &str) -> Reply {
+/// Handles a look-up by region: returns the addresses of entry instances for callers in `region`.
+fn handle_region(context: &Arc<Context>, region: &str) -> Reply {
     context.metrics.lookups.inc();
     let steering = context.steering();
     let region = context.policy().region(region);
-    let most = context.settings.callers.answer_entries as usize;
-    let found = steer::near::look_up(&steering.view, region, most);
+    let limit = context.settings.callers.answer_entries as usize;
+    let found = steer::near::look_up(&steering.view, region, limit);
     let addresses: Vec<&str> =
         found.iter().filter_map(|position| Some(steering.view.entry(*position)?.address.as_str())).collect();
     if addresses.is_empty() {
@@ -78,15 +78,15 @@
     Reply::json(&Addresses { addresses, ttl_s: context.settings.callers.answer_ttl_s })
 }
 
-/// The value of a parameter of a query.
-fn parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
+/// The value of the query parameter `name`.
+fn query_parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let mut pairs = query.unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
-    pairs.find(|(known, _)| *known == name).map(|(_, value)| value)
+    pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// The caller's address: as named, or as connected.
-fn address(query: Option<&str>, peer: IpAddr) -> Option<u32> {
-    let address = match parameter(query, "client") {
+/// The caller's IPv4 address: the `client` parameter, or else the peer address. `None` if the parameter is malformed.
+fn caller_address(query: Option<&str>, peer: IpAddr) -> Option<u32> {
+    let address = match query_parameter(query, "client") {
         Some(text) => text.parse::<Ipv4Addr>().ok()?,
         None => match peer {
             IpAddr::V4(address) => address,
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' port: look-ups and requests.
+//! The callers' port: look-ups and requests for classes of work.
 
 pub mod connection;
 pub mod forward;
@@ -12,10 +12,10 @@
 use self::reply::Reply;
 use crate::Context;
 
-/// The answer to a request on the callers' port.
+/// Answers a request on the callers' port.
 pub async fn route(context: &Arc<Context>, incoming: Incoming) -> Reply {
     if incoming.head.path() == lookup::PATH {
-        return lookup::answer(context, incoming.head.query(), incoming.peer);
+        return lookup::handle(context, incoming.head.query(), incoming.peer);
     }
-    forward::answer(context, incoming).await
+    forward::handle(context, incoming).await
 }
--- a/crates/daemon/src/callers/reply.rs
+++ b/crates/daemon/src/callers/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Replies to callers.
 
 use std::time::Duration;
 
@@ -12,29 +12,29 @@
 use crate::driver::Refusal;
 use crate::whole::Whole;
 
-/// An answer with its whole body.
+/// A reply with a complete body.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// The headers, without those that frame the body.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Whether the connection ends with it.
+    /// Whether the connection is closed after this reply.
     pub close: bool,
 }
 
-/// The body of an error.
+/// The JSON body of an error reply.
 #[derive(Debug, Serialize)]
-struct Body {
+struct ErrorBody {
     error: &'static str,
     outcome: &'static str,
     advice: &'static str,
 }
 
-/// A time as the header gives it: whole seconds, rounded up, unless callers read fractions.
-fn seconds(time: Duration, fractions: bool) -> HeaderValue {
+/// The value of `Retry-After`: whole seconds, rounded up, or seconds with three decimals if callers read fractions.
+fn retry_after(time: Duration, fractions: bool) -> HeaderValue {
     if fractions {
         let text = format!("{:.3}", time.as_secs_f64());
         return HeaderValue::from_str(&text).unwrap_or_else(|_| HeaderValue::from_static("1"));
@@ -43,12 +43,12 @@
 }
 
 impl Reply {
-    /// `value` as JSON.
+    /// A reply with `value` as JSON and status 200, or status 500 if `value` cannot be serialized.
     pub fn json<T: Serialize>(value: &T) -> Self {
         let (status, body) = match serde_json::to_vec(value) {
             Ok(body) => (StatusCode::OK, body),
             Err(error) => {
-                log::error!("callers: answer not written reason={:?}", error.to_string());
+                log::error!("callers: answer not serialized reason={:?}", error.to_string());
                 (StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
             }
         };
@@ -57,44 +57,45 @@
         Self { status, headers, body: body.into(), close: false }
     }
 
-    /// The answer that `kind` gives.
+    /// The reply for an error of `kind`.
     pub fn error(kind: Kind, dialect: &Dialect) -> Self {
         Self::refusal(kind.into(), dialect)
     }
 
-    /// The answer to a request that no backend server answered.
+    /// The reply to a request that no backend server answered.
     pub fn refusal(refusal: Refusal, dialect: &Dialect) -> Self {
         let Refusal { kind, after } = refusal;
         let answer = kind.answer();
         let mut reply =
-            Self::json(&Body { error: kind.as_str(), outcome: answer.outcome.as_str(), advice: kind.advice() });
+            Self::json(&ErrorBody { error: kind.as_str(), outcome: answer.outcome.as_str(), advice: kind.advice() });
         reply.status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         reply.close = answer.close;
         if let Some(outcome) = &dialect.outcome {
             reply.headers.insert(outcome, HeaderValue::from_static(answer.outcome.as_str()));
         }
-        let usual = answer.retry_after_s.map(|seconds| Duration::from_secs(seconds.into()));
-        if let Some(after) = after.or(usual) {
-            reply.headers.insert(RETRY_AFTER, seconds(after, dialect.fractions));
+        let default_after = answer.retry_after_s.map(|seconds| Duration::from_secs(seconds.into()));
+        if let Some(after) = after.or(default_after) {
+            reply.headers.insert(RETRY_AFTER, retry_after(after, dialect.fractions));
         }
         reply
     }
 
-    /// A backend server's whole answer.
-    pub fn whole(whole: &Whole, dialect: &Dialect) -> Self {
-        let mut headers = whole.headers.clone();
+    /// A backend server's response, passed on to the caller.
+    pub fn from_response(response: &Whole, dialect: &Dialect) -> Self {
+        let mut headers = response.headers.clone();
         if let Some(outcome) = &dialect.outcome {
             headers.insert(outcome, HeaderValue::from_static("complete"));
         }
-        Self { status: whole.status, headers, body: whole.body.clone(), close: false }
+        Self { status: response.status, headers, body: response.body.clone(), close: false }
     }
 
-    /// Writes the answer to a request with `method`.
+    /// Appends this reply to `out` as the response to a request with `method`; `close` announces that the connection
+    /// ends.
     pub fn write(&self, out: &mut BytesMut, method: &Method, close: bool) {
-        let bodiless = matches!(self.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-        let length = (!bodiless).then_some(self.body.len());
+        let has_no_body = matches!(self.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+        let length = (!has_no_body).then_some(self.body.len());
         h1::encode::response(out, self.status, &self.headers, length, close);
-        if *method != Method::HEAD && !bodiless {
+        if *method != Method::HEAD && !has_no_body {
             out.extend_from_slice(&self.body);
         }
     }
--- a/crates/daemon/src/callers/server.rs
+++ b/crates/daemon/src/callers/server.rs
@@ -1,4 +1,4 @@
-//! The socket of the callers' port.
+//! The listening sockets of the callers' port.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,20 +12,20 @@
 use crate::Context;
 use crate::plugin::Plugin;
 
-/// Time without an acknowledgement after which a connection is given up.
+/// Time for which sent data may stay unacknowledged before a connection is dropped.
 const USER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time without traffic after which a connection is probed.
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
-/// Time to take in connections that were made before the port closed.
-const LAST_CALL: Duration = Duration::from_millis(100);
-/// Pause after a connection could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Idle time after which TCP keep-alive probes are sent.
+const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(30);
+/// While the port closes, accepting ends once no connection has arrived for this time.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
+/// Pause after a failed accept, before the next one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "callers", stage: 60, start })
 }
 
-/// The port and how many connections it has open.
+/// The accept loops of the port and its number of open connections.
 struct Port {
     stop: watch::Sender<Phase>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
@@ -59,20 +59,20 @@
         let listener = context
             .listen(address)
             .map_err(|error| format!("key `{key}`: cannot listen at {address}: {error}; choose a free address"))?;
-        let port = Accepting { context: Arc::clone(context), stopped: stopped.clone(), open: Arc::clone(&open) };
-        tasks.push(context.runtime.spawn(port.run(listener)));
+        let acceptor = Acceptor { context: Arc::clone(context), stopped: stopped.clone(), open: Arc::clone(&open) };
+        tasks.push(context.runtime.spawn(acceptor.run(listener)));
     }
     Ok(Box::new(Port { stop, tasks, open }))
 }
 
-/// Takes connections until it is stopped.
-struct Accepting {
+/// Accepts connections on one address until the port closes.
+struct Acceptor {
     context: Arc<Context>,
     stopped: watch::Receiver<Phase>,
     open: Arc<AtomicUsize>,
 }
 
-impl Accepting {
+impl Acceptor {
     async fn run(mut self, listener: TcpListener) {
         let slots = Arc::new(Semaphore::new(self.context.settings.callers.max_connections as usize));
         while *self.stopped.borrow() != Phase::Closing {
@@ -83,19 +83,19 @@
                 accepted = listener.accept() => match accepted {
                     Ok((stream, peer)) => self.serve(stream, peer, slot),
                     Err(error) => {
-                        log::warn!("callers: connection not taken reason={:?}", error.to_string());
-                        tokio::time::sleep(ACCEPT_PAUSE).await;
+                        log::warn!("callers: connection not accepted reason={:?}", error.to_string());
+                        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
                 changed = self.stopped.changed() => if changed.is_err() { return },
             }
         }
-        self.last_call(&listener, &slots).await;
+        self.drain_backlog(&listener, &slots).await;
     }
 
-    /// Takes in the connections that wait at the port, so that closing it resets none.
-    async fn last_call(&self, listener: &TcpListener, slots: &Arc<Semaphore>) {
-        while let Ok(Ok((stream, peer))) = tokio::time::timeout(LAST_CALL, listener.accept()).await {
+    /// Accepts the connections that still wait in the listen backlog: closing the listener would reset them.
+    async fn drain_backlog(&self, listener: &TcpListener, slots: &Arc<Semaphore>) {
+        while let Ok(Ok((stream, peer))) = tokio::time::timeout(DRAIN_TIMEOUT, listener.accept()).await {
             let Ok(slot) = Arc::clone(slots).acquire_owned().await else {
                 return;
             };
@@ -104,8 +104,8 @@
     }
 
     fn serve(&self, stream: TcpStream, peer: SocketAddr, slot: OwnedSemaphorePermit) {
-        if let Err(error) = prepare(&stream) {
-            log::debug!("callers: socket options skipped reason={:?}", error.to_string());
+        if let Err(error) = set_options(&stream) {
+            log::debug!("callers: socket options not set reason={:?}", error.to_string());
         }
         let (context, open) = (Arc::clone(&self.context), Arc::clone(&self.open));
         let serving = connection::serve(Arc::clone(&context), stream, peer.ip(), self.stopped.clone());
@@ -120,11 +120,11 @@
     }
 }
 
-/// Notices callers that are silent for good.
-fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+/// Sets the socket options that detect callers that are no longer reachable, and disables Nagle's algorithm.
+fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     let socket = socket2::SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     socket.set_keepalive(true)?;
-    socket.set_tcp_keepalive(&socket2::TcpKeepalive::new().with_time(KEEP_ALIVE))
+    socket.set_tcp_keepalive(&socket2::TcpKeepalive::new().with_time(KEEP_ALIVE_AFTER))
 }
