--- a/crates/daemon/src/backends/leaving.rs
+++ b/crates/daemon/src/backends/announcement.rs
@@ -17,9 +17,9 @@
 const LEAVES_UNBORN: Duration = Duration::from_mins(1);
 
 /// Takes in what the headers of an answer with `status` say of the server itself.
-pub fn hear(context: &Arc<Context>, backend: BackendId, status: StatusCode, headers: &HeaderMap) {
+pub fn apply(context: &Arc<Context>, backend: BackendId, status: StatusCode, headers: &HeaderMap) {
     if context.dialect.leaving.as_ref().is_some_and(|name| headers.contains_key(name)) {
-        context.pool.renew(backend);
+        context.pool.clear(backend);
         peers::spread_leaving(context, &[backend]);
     }
     if status != StatusCode::SERVICE_UNAVAILABLE {
@@ -32,7 +32,7 @@
 }
 
 /// Notes that a server leaves; says whether that is news.
-pub fn note(context: &Arc<Context>, backend: BackendId) -> bool {
+pub fn record_leaving(context: &Arc<Context>, backend: BackendId) -> bool {
     let steering = context.steering();
     let unborn = steering.backends.get(&backend).is_some_and(|instance| instance.born == 0);
     let now = context.now();
--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -15,7 +15,7 @@
 use http::{Method, StatusCode};
 
 use crate::Context;
-use crate::backends::{leaving, load};
+use crate::backends::{announcement, load};
 use crate::driver::Outgoing;
 use crate::notes;
 use crate::orders;
@@ -31,15 +31,15 @@
 
 /// An attempt as the engine decided it.
 #[derive(Debug, Clone, Copy)]
-pub struct Sending {
+pub struct Attempt {
     /// Its number.
-    pub attempt: u64,
+    pub number: u64,
     /// The server.
     pub backend: BackendId,
     /// When its answer is of no use.
     pub deadline: Time,
     /// Whether the request was sent before.
-    pub again: bool,
+    pub retry: bool,
 }
 
 /// Where an attempt goes.
@@ -51,14 +51,14 @@
 }
 
 /// Runs an attempt to its end; the ending goes back to the driver.
-pub async fn run(context: Arc<Context>, outgoing: Arc<Outgoing>, sending: Sending) {
+pub async fn run(context: Arc<Context>, outgoing: Arc<Outgoing>, attempt: Attempt) {
     let begun = context.now();
-    let (ending, whole) = ending(&context, &outgoing, sending).await;
+    let (ending, whole) = ending(&context, &outgoing, attempt).await;
     let took = context.now().since(begun);
     context.metrics.attempt_time.with_label_values(&[ending.name()]).observe(took.as_secs_f64());
     let status = whole.as_ref().map_or(0, |whole| whole.status.as_u16());
-    notes::ended(&outgoing, sending.attempt, ending, status, took);
-    context.driver.finish(&context, sending.attempt, ending, whole);
+    notes::ended(&outgoing, attempt.number, ending, status, took);
+    context.driver.finish(&context, attempt.number, ending, whole);
 }
 
 /// Tells a backend server that an attempt's answer is not needed any more, where closing the connection does not.
@@ -83,31 +83,31 @@
     });
 }
 
-async fn ending(context: &Arc<Context>, outgoing: &Arc<Outgoing>, sending: Sending) -> (Ending, Option<Arc<Whole>>) {
-    if let Err(kind) = claim(context, outgoing, sending.deadline).await {
+async fn ending(context: &Arc<Context>, outgoing: &Arc<Outgoing>, attempt: Attempt) -> (Ending, Option<Arc<Whole>>) {
+    if let Err(kind) = claim(context, outgoing, attempt.deadline).await {
         return (Ending::Withheld(kind), None);
     }
-    let Some(target) = target(context, sending.backend) else {
+    let Some(target) = target(context, attempt.backend) else {
         return (Ending::Unreachable, None);
     };
-    let limit = sending.deadline.since(context.now());
+    let limit = attempt.deadline.since(context.now());
     if limit.is_zero() {
         return (Ending::Withheld(Kind::Expired), None);
     }
-    let Ok(connection) = connection(context, outgoing, sending, target.address).await else {
+    let Ok(connection) = connection(context, outgoing, attempt, target.address).await else {
         return (Ending::Unreachable, None);
     };
     stall::note(context);
     let now = context.now();
-    if !context.driver.look(|engine| engine.may_send(sending.backend, now)) {
+    if !context.driver.look(|engine| engine.may_send(attempt.backend, now)) {
         return (Ending::Recalled, None);
     }
-    let exchange = exchange(context, outgoing, sending, &target, connection);
-    let limit = sending.deadline.since(context.now());
+    let exchange = exchange(context, outgoing, attempt, &target, connection);
+    let limit = attempt.deadline.since(context.now());
     match tokio::time::timeout(limit, exchange).await {
-        Ok(Ok(answer)) => judge(context, sending, answer),
+        Ok(Ok(answer)) => judge(context, attempt, answer),
         Ok(Err(fault)) => {
-            context.pool.renew(sending.backend);
+            context.pool.clear(attempt.backend);
             (failed(fault), None)
         }
         Err(_) => (Ending::Timeout, None),
@@ -131,19 +131,19 @@
 async fn connection(
     context: &Context,
     outgoing: &Outgoing,
-    sending: Sending,
+    attempt: Attempt,
     address: SocketAddr,
 ) -> std::io::Result<Connection> {
     let now = context.now();
     let most = if outgoing.idempotent { Duration::MAX } else { ORDER_IDLE };
-    let fresh = sending.again || alone(context, outgoing);
-    let open = if fresh { None } else { context.pool.take(sending.backend, most, now) };
+    let fresh = attempt.retry || alone(context, outgoing);
+    let open = if fresh { None } else { context.pool.take(attempt.backend, most, now) };
     if let Some(open) = open {
         return Ok(open);
     }
     context.metrics.connects.inc();
     let connect = Duration::from_millis(context.settings.dispatch.connect_ms);
-    let limit = connect.min(sending.deadline.since(now));
+    let limit = connect.min(attempt.deadline.since(now));
     tokio::time::timeout(limit, Connection::open(address, SILENCE)).await?
 }
 
@@ -151,12 +151,12 @@
 async fn exchange(
     context: &Context,
     outgoing: &Outgoing,
-    sending: Sending,
+    attempt: Attempt,
     target: &Target,
     mut connection: Connection,
 ) -> Result<Answer, Fault> {
     let dialect = &context.dialect;
-    let headers = headers(context, outgoing, sending, target);
+    let headers = headers(context, outgoing, attempt, target);
     let id = headers.get(&dialect.request_id).cloned();
     // On a connection that was used before, a success without an id may be a late copy of an earlier one.
     let used = connection.used();
@@ -178,7 +178,7 @@
     note_bytes(context, target, "received", answer.body.len());
     let named = !dialect.callers_id || answer.headers.contains_key(&dialect.request_id);
     if answer.reusable && (named || !answer.status.is_success()) {
-        context.pool.put(sending.backend, connection, answer.idle_limit(), context.now());
+        context.pool.put(attempt.backend, connection, answer.idle_limit(), context.now());
     }
     Ok(answer)
 }
@@ -191,14 +191,14 @@
 }
 
 /// What an answer means, and the answer if it is for the caller.
-fn judge(context: &Arc<Context>, sending: Sending, answer: Answer) -> (Ending, Option<Arc<Whole>>) {
+fn judge(context: &Arc<Context>, attempt: Attempt, answer: Answer) -> (Ending, Option<Arc<Whole>>) {
     let dialect = &context.dialect;
-    load::note(context, sending.backend, &answer.headers);
+    load::record(context, attempt.backend, &answer.headers);
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
-        context.pool.renew(sending.backend);
+        context.pool.clear(attempt.backend);
         return (Ending::Unreachable, None);
     }
-    leaving::hear(context, sending.backend, answer.status, &answer.headers);
+    announcement::apply(context, attempt.backend, answer.status, &answer.headers);
     if dialect.says_not_run(&answer.headers) {
         return (Ending::Shed, None);
     }
@@ -235,21 +235,21 @@
     }
 }
 
-fn headers(context: &Context, outgoing: &Outgoing, sending: Sending, target: &Target) -> HeaderMap {
+fn headers(context: &Context, outgoing: &Outgoing, attempt: Attempt, target: &Target) -> HeaderMap {
     let dialect = &context.dialect;
     let mut headers = outgoing.headers.clone();
     if !headers.contains_key(HOST) {
         headers.extend(host(target.address));
     }
     if !dialect.callers_id {
-        insert(&mut headers, &dialect.request_id, &attempt_id(context, sending.attempt));
+        insert(&mut headers, &dialect.request_id, &attempt_id(context, attempt.number));
     }
-    let left = sending.deadline.since(context.now()).as_millis().max(1);
+    let left = attempt.deadline.since(context.now()).as_millis().max(1);
     insert(&mut headers, &dialect.deadline_ms, &left.to_string());
     if let Some(server) = &dialect.server {
         insert(&mut headers, server, &target.name);
     }
-    if alone(context, outgoing) || (dialect.alone && sending.again) {
+    if alone(context, outgoing) || (dialect.alone && attempt.retry) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     headers
--- a/crates/daemon/src/backends/load.rs
+++ b/crates/daemon/src/backends/load.rs
@@ -16,7 +16,7 @@
 }
 
 /// Takes in the load told in the headers of an answer.
-pub fn note(context: &Context, backend: BackendId, headers: &HeaderMap) {
+pub fn record(context: &Context, backend: BackendId, headers: &HeaderMap) {
     let Some(name) = &context.dialect.load else { return };
     let Some(told) = head::text(headers, name).and_then(parse) else { return };
     let now = context.now();
--- a/crates/daemon/src/backends/mod.rs
+++ b/crates/daemon/src/backends/mod.rs
@@ -1,7 +1,7 @@
 //! Sockets towards backend servers.
 
+pub mod announcement;
 pub mod attempt;
-pub mod leaving;
 pub mod load;
 pub mod pool;
 pub mod probe;
--- a/crates/daemon/src/backends/pool.rs
+++ b/crates/daemon/src/backends/pool.rs
@@ -65,12 +65,12 @@
     }
 
     /// Drops the connections to `backend`: one of them went silent or broke, so the others may have too.
-    pub fn renew(&self, backend: BackendId) {
+    pub fn clear(&self, backend: BackendId) {
         lock(&self.idle).remove(&backend);
     }
 
     /// Drops the connections to servers that are not in use any more, and those idle for too long.
-    pub fn keep(&self, in_use: impl Fn(BackendId) -> bool, now: Time) {
+    pub fn retain(&self, in_use: impl Fn(BackendId) -> bool, now: Time) {
         let mut all = lock(&self.idle);
         all.retain(|backend, _| in_use(*backend));
         all.values_mut().for_each(|idle| idle.retain(|idle| now < idle.until));
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -204,7 +204,7 @@
     fn perform(&self, context: &Arc<Context>, action: Action) {
         match action {
             Action::Start { request, attempt, backend, deadline, again, why } => {
-                let sending = attempt::Sending { attempt, backend, deadline, again };
+                let sending = attempt::Attempt { number: attempt, backend, deadline, retry: again };
                 self.note_start(context, request, sending, why);
                 self.start(context, request, sending);
             }
@@ -222,13 +222,13 @@
     }
 
     /// Tells in logs and metrics where a request goes and what that rests on.
-    fn note_start(&self, context: &Context, request: u64, sending: attempt::Sending, why: Why) {
+    fn note_start(&self, context: &Context, request: u64, sending: attempt::Attempt, why: Why) {
         let pending = lock(&self.pending).get(&request).map(|pending| (Arc::clone(&pending.outgoing), pending.came));
         let Some((outgoing, came)) = pending else { return };
         let waited = context.now().since(came);
-        let again = if sending.again { "yes" } else { "no" };
+        let again = if sending.retry { "yes" } else { "no" };
         context.metrics.sends.with_label_values(&[again, notes::warm(why)]).inc();
-        if !sending.again {
+        if !sending.retry {
             context.metrics.waits.observe(waited.as_secs_f64());
         }
         notes::sent(context, &outgoing, sending, waited, why);
@@ -250,16 +250,16 @@
         notes::write(context, note, outgoing.as_ref().map_or("-", |outgoing| outgoing.id.as_str()));
     }
 
-    fn start(&self, context: &Arc<Context>, request: u64, sending: attempt::Sending) {
+    fn start(&self, context: &Arc<Context>, request: u64, sending: attempt::Attempt) {
         let outgoing = lock(&self.pending).get(&request).map(|pending| Arc::clone(&pending.outgoing));
         let Some(outgoing) = outgoing else {
-            return self.finish(context, sending.attempt, Ending::Withheld(Kind::Expired), None);
+            return self.finish(context, sending.number, Ending::Withheld(Kind::Expired), None);
         };
         // The map is locked so that an attempt that ends at once finds itself in it.
         let mut running = lock(&self.running);
         let begun = context.now();
         let task = context.runtime.spawn(attempt::run(Arc::clone(context), Arc::clone(&outgoing), sending));
-        running.insert(sending.attempt, Running { outgoing, begun, task: task.abort_handle() });
+        running.insert(sending.number, Running { outgoing, begun, task: task.abort_handle() });
     }
 
     /// Takes in a load report that came with an answer; it is acted on when that answer is.
--- a/crates/daemon/src/notes.rs
+++ b/crates/daemon/src/notes.rs
@@ -10,7 +10,7 @@
 use dispatch::engine::{Chance, Note, Why};
 
 use crate::Context;
-use crate::backends::attempt::Sending;
+use crate::backends::attempt::Attempt;
 use crate::driver::Outgoing;
 use crate::view::Steering;
 
@@ -18,15 +18,15 @@
 const NAMED: usize = 8;
 
 /// Where a request goes and what that rests on; `waited` is the time since it came.
-pub fn sent(context: &Context, outgoing: &Outgoing, sending: Sending, waited: Duration, why: Why) {
+pub fn sent(context: &Context, outgoing: &Outgoing, sending: Attempt, waited: Duration, why: Why) {
     let steering = context.steering();
     let target = steering.backends.get(&sending.backend);
     let (server, domain) = target.map_or(("gone", ""), |instance| (&instance.name, &instance.domain));
     let now = context.now();
     let warm = warm(why);
     log::info!(
-        request = outgoing.id.as_str(), object = outgoing.object.as_str(), attempt = sending.attempt, server, domain,
-        again = sending.again, warm, own = why.own, load:% = format_args!("{:.2}", why.load),
+        request = outgoing.id.as_str(), object = outgoing.object.as_str(), attempt = sending.number, server, domain,
+        again = sending.retry, warm, own = why.own, load:% = format_args!("{:.2}", why.load),
         pace:% = format_args!("{:.2}", why.pace),
         told_ms:% = why.told.map_or(-1, |told| now.since(told).as_millis() as i64),
         waited_ms:% = waited.as_millis(), left_ms:% = sending.deadline.since(now).as_millis();
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -9,7 +9,7 @@
 use super::api::PeersClient as _;
 use super::client;
 use crate::Context;
-use crate::backends::leaving;
+use crate::backends::announcement;
 use crate::context::lock;
 use crate::plugin::Plugin;
 use crate::policies;
@@ -150,7 +150,7 @@
     let now = context.now();
     lock(&context.roster).adopt(&snapshot, now);
     for server in &snapshot.leaving {
-        leaving::note(context, *server);
+        announcement::record_leaving(context, *server);
     }
     log::info!("peers: joined through peer={seed} members={}", snapshot.records.len());
     if let Some(copy) = snapshot.policy {
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -13,7 +13,7 @@
 use fleet::message::Message;
 
 use crate::Context;
-use crate::backends::leaving;
+use crate::backends::announcement;
 use crate::context::lock;
 
 /// Times a second at which a daemon tells of losses and of leaving servers at once, and as many times together: a request
@@ -63,7 +63,8 @@
 /// Backend servers said that they leave, to us or to a peer: passes on what is news.
 pub fn spread_leaving(context: &Arc<Context>, servers: &[BackendId]) {
     let now = context.now();
-    let news: Vec<BackendId> = servers.iter().copied().filter(|server| leaving::note(context, *server)).collect();
+    let news: Vec<BackendId> =
+        servers.iter().copied().filter(|server| announcement::record_leaving(context, *server)).collect();
     if news.is_empty() {
         return;
     }
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -104,7 +104,7 @@
     let specs = (preparing.basis != Some(basis)).then(|| rebuild(context, in_force, &list.items, preparing));
     preparing.basis = Some(basis);
     let steering = shift(context, in_force, now);
-    context.pool.keep(|backend| steering.backends.contains_key(&backend), now);
+    context.pool.retain(|backend| steering.backends.contains_key(&backend), now);
     let remotes = remotes(context, &preparing.slots, in_force, now);
     let extra = extra(context, lock(&context.roster).alive().count() + 1);
     context.driver.with(context, |engine| {
