--- a/crates/daemon/src/backends/announcement.rs
+++ b/crates/daemon/src/backends/announcement.rs
@@ -1,4 +1,4 @@
-//! Backend servers that say with their answers that they leave, or want nothing for a while.
+//! Announcements in the answers of backend servers: that a server is leaving, or paused for a while.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 
 use crate::{Context, peers};
 
-/// How long a server counts as leaving after it said so: its number holds when it started, so that a successor has
-/// another one.
-const LEAVES: Duration = Duration::from_hours(1);
-/// The same for a server whose number does not hold when it started: a successor may have the same one.
-const LEAVES_UNBORN: Duration = Duration::from_mins(1);
+/// How long a server counts as leaving after its announcement. Its id includes its start time, so a successor has
+/// another id.
+const LEAVING_MAX_AGE: Duration = Duration::from_hours(1);
+/// The same for a server whose start time is unknown: a successor may have the same id.
+const LEAVING_MAX_AGE_WITHOUT_START: Duration = Duration::from_mins(1);
 
-/// Takes in what the headers of an answer with `status` say of the server itself.
+/// Applies the announcements in an answer's headers: the leaving header in any answer, which is also passed on to the
+/// peers, and `Retry-After` in an answer with status 503, which pauses the server.
 pub fn apply(context: &Arc<Context>, backend: BackendId, status: StatusCode, headers: &HeaderMap) {
     if context.dialect.leaving.as_ref().is_some_and(|name| headers.contains_key(name)) {
         context.pool.clear(backend);
@@ -25,22 +26,22 @@
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return;
     }
-    if let Some(pause) = head::text(headers, &RETRY_AFTER).and_then(pause) {
+    if let Some(pause) = head::text(headers, &RETRY_AFTER).and_then(parse_seconds) {
         let now = context.now();
         context.driver.with(context, |engine| engine.note_pause(backend, pause, now));
     }
 }
 
-/// Notes that a server leaves; says whether that is news.
+/// Records that a server is leaving. Returns whether this changed anything.
 pub fn record_leaving(context: &Arc<Context>, backend: BackendId) -> bool {
     let steering = context.steering();
-    let unborn = steering.backends.get(&backend).is_some_and(|instance| instance.born == 0);
+    let without_start = steering.backends.get(&backend).is_some_and(|instance| instance.born == 0);
     let now = context.now();
-    let until = now + if unborn { LEAVES_UNBORN } else { LEAVES };
+    let until = now + if without_start { LEAVING_MAX_AGE_WITHOUT_START } else { LEAVING_MAX_AGE };
     context.driver.with(context, |engine| engine.note_leaving(backend, until, now))
 }
 
-/// Seconds, with fractions or without.
-fn pause(text: &str) -> Option<Duration> {
+/// Parses a number of seconds, with or without a fraction.
+fn parse_seconds(text: &str) -> Option<Duration> {
     text.trim().parse().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
 }
--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a backend server, from the claim to the ending.
+//! One attempt to run a request on a backend server: claim, connection, exchange, and how the attempt ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,79 +22,83 @@
 use crate::stall;
 use crate::whole::Whole;
 
-/// Time for a cancellation to be taken.
+/// Timeout of a cancellation request.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time without an acknowledgement after which a connection to a backend server is given up.
-const SILENCE: Duration = Duration::from_millis(700);
-/// An open connection that was idle for longer may have gone silent: an order gets a fresh one.
-const ORDER_IDLE: Duration = Duration::from_secs(1);
+/// Time for which data sent to a backend server may stay unacknowledged before the connection is dropped.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum idle time of a pooled connection that is used for an order. After a longer time the connection may be dead
+/// without a sign of it, so an order gets a new one.
+const ORDER_MAX_IDLE: Duration = Duration::from_secs(1);
 
-/// An attempt as the engine decided it.
+/// An attempt that the dispatch engine decided on.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
-    /// Its number.
+    /// The number of the attempt, unique in this incarnation.
     pub number: u64,
-    /// The server.
+    /// The backend server that the request is sent to.
     pub backend: BackendId,
-    /// When its answer is of no use.
+    /// When the answer is no longer useful.
     pub deadline: Time,
-    /// Whether the request was sent before.
+    /// Whether the request was sent before, in an earlier attempt.
     pub retry: bool,
 }
 
-/// Where an attempt goes.
+/// The server that an attempt is sent to.
 struct Target {
     address: SocketAddr,
     name: String,
-    /// Whether it stands in another region.
+    /// Whether the server is in another region than this daemon.
     remote: bool,
 }
 
-/// Runs an attempt to its end; the ending goes back to the driver.
+/// Runs an attempt to its end and passes the result to the driver.
 pub async fn run(context: Arc<Context>, outgoing: Arc<Outgoing>, attempt: Attempt) {
-    let begun = context.now();
-    let (ending, whole) = ending(&context, &outgoing, attempt).await;
-    let took = context.now().since(begun);
-    context.metrics.attempt_time.with_label_values(&[ending.name()]).observe(took.as_secs_f64());
-    let status = whole.as_ref().map_or(0, |whole| whole.status.as_u16());
-    notes::ended(&outgoing, attempt.number, ending, status, took);
-    context.driver.finish(&context, attempt.number, ending, whole);
+    let started = context.now();
+    let (ending, response) = execute(&context, &outgoing, attempt).await;
+    let elapsed = context.now().since(started);
+    context.metrics.attempt_time.with_label_values(&[ending.name()]).observe(elapsed.as_secs_f64());
+    let status = response.as_ref().map_or(0, |response| response.status.as_u16());
+    notes::ended(&outgoing, attempt.number, ending, status, elapsed);
+    context.driver.finish(&context, attempt.number, ending, response);
 }
 
-/// Tells a backend server that an attempt's answer is not needed any more, where closing the connection does not.
+/// Sends a backend server a request to cancel an attempt, if the dialect has one. In other dialects closing the
+/// connection cancels it.
 pub fn cancel(context: &Arc<Context>, attempt: u64, backend: BackendId) {
     let Some(path) = context.dialect.cancel_path else { return };
-    let Some(target) = target(context, backend) else { return };
+    let Some(target) = resolve_target(context, backend) else { return };
     let url = format!("{path}?id={}", attempt_id(context, attempt));
     let shared = Arc::clone(context);
     context.runtime.spawn(async move {
         let call = Call {
             method: &Method::POST,
             target: &url,
-            headers: &host(target.address),
+            headers: &host_header(target.address),
             body: &Bytes::new(),
             max_answer: 0,
             room: &shared.answers,
         };
-        let sent = async { Connection::open(target.address, SILENCE).await.ok()?.exchange(call, |_| true).await.ok() };
+        let sent =
+            async { Connection::open(target.address, UNACKED_TIMEOUT).await.ok()?.exchange(call, |_| true).await.ok() };
         if !matches!(tokio::time::timeout(CANCEL_TIMEOUT, sent).await, Ok(Some(_))) {
-            log::debug!("dispatch: cancel skipped server={}", target.name);
+            log::debug!("dispatch: cancel not confirmed server={}", target.name);
         }
     });
 }
 
-async fn ending(context: &Arc<Context>, outgoing: &Arc<Outgoing>, attempt: Attempt) -> (Ending, Option<Arc<Whole>>) {
+/// Runs the steps of an attempt. Returns how it ended, and the response if it is to be relayed to the caller.
+async fn execute(context: &Arc<Context>, outgoing: &Arc<Outgoing>, attempt: Attempt) -> (Ending, Option<Arc<Whole>>) {
     if let Err(kind) = claim(context, outgoing, attempt.deadline).await {
         return (Ending::Withheld(kind), None);
     }
-    let Some(target) = target(context, attempt.backend) else {
+    let Some(target) = resolve_target(context, attempt.backend) else {
         return (Ending::Unreachable, None);
     };
     let limit = attempt.deadline.since(context.now());
     if limit.is_zero() {
         return (Ending::Withheld(Kind::Expired), None);
     }
-    let Ok(connection) = connection(context, outgoing, attempt, target.address).await else {
+    let Ok(connection) = acquire_connection(context, outgoing, attempt, target.address).await else {
         return (Ending::Unreachable, None);
     };
     stall::note(context);
@@ -105,16 +109,17 @@
     let exchange = exchange(context, outgoing, attempt, &target, connection);
     let limit = attempt.deadline.since(context.now());
     match tokio::time::timeout(limit, exchange).await {
-        Ok(Ok(answer)) => judge(context, attempt, answer),
+        Ok(Ok(answer)) => classify_answer(context, attempt, answer),
         Ok(Err(fault)) => {
             context.pool.clear(attempt.backend);
-            (failed(fault), None)
+            (ending_of(fault), None)
         }
         Err(_) => (Ending::Timeout, None),
     }
 }
 
-/// Makes sure that an order may be sent; the store is asked on a thread of its own.
+/// Ensures that this daemon holds the claim of an order before the order is sent. The calls to the store run on a
+/// blocking thread.
 async fn claim(context: &Arc<Context>, outgoing: &Arc<Outgoing>, deadline: Time) -> Result<(), Kind> {
     if outgoing.order.is_none() {
         return Ok(());
@@ -128,26 +133,27 @@
     claim.await.unwrap_or(Err(Kind::Internal))
 }
 
-async fn connection(
+/// Takes a connection to the server from the pool, or opens a new one if none is usable.
+async fn acquire_connection(
     context: &Context,
     outgoing: &Outgoing,
     attempt: Attempt,
     address: SocketAddr,
 ) -> std::io::Result<Connection> {
     let now = context.now();
-    let most = if outgoing.idempotent { Duration::MAX } else { ORDER_IDLE };
-    let fresh = attempt.retry || alone(context, outgoing);
-    let open = if fresh { None } else { context.pool.take(attempt.backend, most, now) };
-    if let Some(open) = open {
-        return Ok(open);
+    let max_idle = if outgoing.idempotent { Duration::MAX } else { ORDER_MAX_IDLE };
+    let needs_new = attempt.retry || needs_own_connection(context, outgoing);
+    let pooled = if needs_new { None } else { context.pool.take(attempt.backend, max_idle, now) };
+    if let Some(pooled) = pooled {
+        return Ok(pooled);
     }
     context.metrics.connects.inc();
-    let connect = Duration::from_millis(context.settings.dispatch.connect_ms);
-    let limit = connect.min(attempt.deadline.since(now));
-    tokio::time::timeout(limit, Connection::open(address, SILENCE)).await?
+    let connect_timeout = Duration::from_millis(context.settings.dispatch.connect_ms);
+    let limit = connect_timeout.min(attempt.deadline.since(now));
+    tokio::time::timeout(limit, Connection::open(address, UNACKED_TIMEOUT)).await?
 }
 
-/// Sends the request and reads its answer; a connection that can be used again goes back to the pool.
+/// Sends the request and reads its answer. A reusable connection is returned to the pool.
 async fn exchange(
     context: &Context,
     outgoing: &Outgoing,
@@ -156,11 +162,11 @@
     mut connection: Connection,
 ) -> Result<Answer, Fault> {
     let dialect = &context.dialect;
-    let headers = headers(context, outgoing, attempt, target);
+    let headers = request_headers(context, outgoing, attempt, target);
     let id = headers.get(&dialect.request_id).cloned();
-    // On a connection that was used before, a success without an id may be a late copy of an earlier one.
+    // On a reused connection, a success without an id may be a late duplicate of the answer to an earlier request.
     let used = connection.used();
-    let ours = |head: &head::Response| match head.headers.get(&dialect.request_id) {
+    let matches_id = |head: &head::Response| match head.headers.get(&dialect.request_id) {
         _ if !dialect.callers_id => true,
         None => !(used && head.status.is_success()),
         echoed => echoed == id.as_ref(),
@@ -173,25 +179,26 @@
         max_answer: context.settings.dispatch.max_answer_bytes as usize,
         room: &context.answers,
     };
-    note_bytes(context, target, "sent", outgoing.body.len());
-    let answer = connection.exchange(call, ours).await?;
-    note_bytes(context, target, "received", answer.body.len());
-    let named = !dialect.callers_id || answer.headers.contains_key(&dialect.request_id);
-    if answer.reusable && (named || !answer.status.is_success()) {
+    record_remote_bytes(context, target, "sent", outgoing.body.len());
+    let answer = connection.exchange(call, matches_id).await?;
+    record_remote_bytes(context, target, "received", answer.body.len());
+    let identified = !dialect.callers_id || answer.headers.contains_key(&dialect.request_id);
+    if answer.reusable && (identified || !answer.status.is_success()) {
         context.pool.put(attempt.backend, connection, answer.idle_limit(), context.now());
     }
     Ok(answer)
 }
 
-/// Counts bytes of bodies that cross regions.
-fn note_bytes(context: &Context, target: &Target, direction: &str, bytes: usize) {
+/// Counts body bytes that are exchanged with servers in other regions.
+fn record_remote_bytes(context: &Context, target: &Target, direction: &str, bytes: usize) {
     if target.remote {
         context.metrics.remote_bytes.with_label_values(&[direction]).inc_by(bytes as u64);
     }
 }
 
-/// What an answer means, and the answer if it is for the caller.
-fn judge(context: &Arc<Context>, attempt: Attempt, answer: Answer) -> (Ending, Option<Arc<Whole>>) {
+/// Records the load and announcements in an answer. Returns how the attempt ended, and the response if it is to be
+/// relayed to the caller.
+fn classify_answer(context: &Arc<Context>, attempt: Attempt, answer: Answer) -> (Ending, Option<Arc<Whole>>) {
     let dialect = &context.dialect;
     load::record(context, attempt.backend, &answer.headers);
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
@@ -210,23 +217,26 @@
     if !framed || (answer.status.is_success() && (!signed || answer.headers.contains_key(CONTENT_ENCODING))) {
         return (Ending::Cut, None);
     }
-    let whole = whole(context, answer);
-    (Ending::Answered(whole.bytes()), Some(Arc::new(whole)))
+    let response = to_response(context, answer);
+    (Ending::Answered(response.bytes()), Some(Arc::new(response)))
 }
 
-fn whole(context: &Context, answer: Answer) -> Whole {
+/// Converts an answer into a response for the caller, without headers that frame the body, apply to one hop or are
+/// addressed to the daemon.
+fn to_response(context: &Context, answer: Answer) -> Whole {
     let mut headers = HeaderMap::with_capacity(answer.headers.len());
-    let inner = [&context.dialect.load, &context.dialect.cold_ms];
-    let kept = |name: &http::HeaderName| {
-        *name != CONTENT_LENGTH && !head::is_hop(name.as_str()) && !inner.contains(&&Some(name.clone()))
+    let internal = [&context.dialect.load, &context.dialect.cold_ms];
+    let is_relayed = |name: &http::HeaderName| {
+        *name != CONTENT_LENGTH && !head::is_hop(name.as_str()) && !internal.contains(&&Some(name.clone()))
     };
-    for (name, value) in answer.headers.iter().filter(|(name, _)| kept(name)) {
+    for (name, value) in answer.headers.iter().filter(|(name, _)| is_relayed(name)) {
         headers.append(name, value.clone());
     }
     Whole { status: answer.status, headers, body: answer.body }
 }
 
-const fn failed(fault: Fault) -> Ending {
+/// The ending of an attempt whose exchange failed with `fault`.
+const fn ending_of(fault: Fault) -> Ending {
     match fault {
         Fault::Unsent => Ending::Unreachable,
         Fault::Lost => Ending::Lost,
@@ -235,45 +245,47 @@
     }
 }
 
-fn headers(context: &Context, outgoing: &Outgoing, attempt: Attempt, target: &Target) -> HeaderMap {
+/// The headers of a request as sent to `target`: those forwarded from the caller and those of the dialect.
+fn request_headers(context: &Context, outgoing: &Outgoing, attempt: Attempt, target: &Target) -> HeaderMap {
     let dialect = &context.dialect;
     let mut headers = outgoing.headers.clone();
     if !headers.contains_key(HOST) {
-        headers.extend(host(target.address));
+        headers.extend(host_header(target.address));
     }
     if !dialect.callers_id {
-        insert(&mut headers, &dialect.request_id, &attempt_id(context, attempt.number));
+        insert_header(&mut headers, &dialect.request_id, &attempt_id(context, attempt.number));
     }
-    let left = attempt.deadline.since(context.now()).as_millis().max(1);
-    insert(&mut headers, &dialect.deadline_ms, &left.to_string());
+    let remaining_ms = attempt.deadline.since(context.now()).as_millis().max(1);
+    insert_header(&mut headers, &dialect.deadline_ms, &remaining_ms.to_string());
     if let Some(server) = &dialect.server {
-        insert(&mut headers, server, &target.name);
+        insert_header(&mut headers, server, &target.name);
     }
-    if alone(context, outgoing) || (dialect.alone && attempt.retry) {
+    if needs_own_connection(context, outgoing) || (dialect.alone && attempt.retry) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     headers
 }
 
-/// Whether the request gets a connection that serves nothing else.
-fn alone(context: &Context, outgoing: &Outgoing) -> bool {
+/// Whether the request needs a connection that carries no other request.
+fn needs_own_connection(context: &Context, outgoing: &Outgoing) -> bool {
     context.dialect.alone && !outgoing.idempotent
 }
 
-fn insert(headers: &mut HeaderMap, name: &http::HeaderName, value: &str) {
+fn insert_header(headers: &mut HeaderMap, name: &http::HeaderName, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => drop(headers.insert(name, value)),
         Err(_) => log::warn!("dispatch: header left out name={name} value={value:?}"),
     }
 }
 
-fn host(address: SocketAddr) -> HeaderMap {
+fn host_header(address: SocketAddr) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    insert(&mut headers, &HOST, &address.to_string());
+    insert_header(&mut headers, &HOST, &address.to_string());
     headers
 }
 
-fn target(context: &Context, backend: BackendId) -> Option<Target> {
+/// The address of a backend server; `None` if the server was removed or its address is not usable.
+fn resolve_target(context: &Context, backend: BackendId) -> Option<Target> {
     let steering = context.steering();
     let instance = steering.backends.get(&backend)?;
     let Ok(address) = instance.address.parse() else {
@@ -284,6 +296,7 @@
     Some(Target { address, name: instance.name.clone(), remote })
 }
 
+/// The id of an attempt on the wire, unique over all incarnations.
 fn attempt_id(context: &Context, attempt: u64) -> String {
     format!("{:016x}-{attempt}", context.incarnation)
 }
--- a/crates/daemon/src/backends/mod.rs
+++ b/crates/daemon/src/backends/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets towards backend servers.
+//! Communication with backend servers: attempts, pooled connections, announcements and load reports.
 
 pub mod announcement;
 pub mod attempt;
--- a/crates/daemon/src/backends/probe.rs
+++ b/crates/daemon/src/backends/probe.rs
@@ -1,4 +1,4 @@
-//! Reads backend servers' load reports.
+//! Polls the load reports of backend servers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,18 +13,18 @@
 use crate::context::lock;
 use crate::plugin::{Loop, Plugin};
 
-/// Longest time for one report.
-const TIMEOUT: Duration = Duration::from_millis(500);
-/// Threads that read reports.
-const READERS: usize = 4;
-/// Reports read in one round at most: a daemon of a large region uses hundreds of servers.
-const PROBES: usize = 24;
+/// Timeout for reading one report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of threads that read reports concurrently.
+const MAX_READERS: usize = 4;
+/// Maximum number of reports read in one round: a daemon in a large region uses hundreds of servers.
+const MAX_REPORTS_PER_ROUND: usize = 24;
 
 inventory::submit! {
     Plugin(kernel::Plugin { name: "probe", stage: 40, start })
 }
 
-/// A load report on the wire.
+/// A load report as servers send it.
 #[derive(Debug, Clone, Copy, Deserialize)]
 struct Load {
     busy: u32,
@@ -40,23 +40,23 @@
     }
     let pause = Duration::from_millis(context.settings.dispatch.probe_ms);
     let config =
-        ureq::Agent::config_builder().timeout_global(Some(TIMEOUT)).proxy(None).max_idle_connections(0).build();
+        ureq::Agent::config_builder().timeout_global(Some(REPORT_TIMEOUT)).proxy(None).max_idle_connections(0).build();
     let agent: ureq::Agent = config.into();
     let context = Arc::clone(context);
-    let mut turn = 0;
+    let mut round = 0;
     let running = Loop::start("probe", move || {
-        round(&context, &agent, turn);
-        turn += 1;
+        run_round(&context, &agent, round);
+        round += 1;
         pause
     })?;
     Ok(Box::new(running))
 }
 
-/// A backend server with its number.
+/// A backend server and its id.
 type Server<'a> = (BackendId, &'a Instance);
 
-/// Reads a report from each server of our region that we use, or from as many as one round may.
-fn round(context: &Arc<Context>, agent: &ureq::Agent, turn: usize) {
+/// Reads the reports of the servers in the daemon's own region that it uses, up to the limit of one round.
+fn run_round(context: &Arc<Context>, agent: &ureq::Agent, round: usize) {
     let steering = context.steering();
     let own = &context.settings.region;
     let servers = steering.backends.iter().map(|(id, instance)| (*id, &**instance));
@@ -65,42 +65,44 @@
         let hosts = engine.backends().filter(|server| server.spec.hosts);
         hosts.map(|server| server.spec.id).collect()
     });
-    let near = chosen(all, |id| hosted.contains(&id), turn);
-    let parts = near.chunks(near.len().div_ceil(READERS).max(1));
+    let selected = select(all, |id| hosted.contains(&id), round);
+    let chunks = selected.chunks(selected.len().div_ceil(MAX_READERS).max(1));
     let read = |server: &Server<'_>| probe(context, agent, *server);
     let loads: Vec<(String, u32, u32)> = std::thread::scope(|scope| {
         let readers: Vec<_> =
-            parts.map(|part| scope.spawn(move || part.iter().filter_map(read).collect::<Vec<_>>())).collect();
-        readers.into_iter().flat_map(|reader| reader.join().unwrap_or_else(|_| failed())).collect()
+            chunks.map(|chunk| scope.spawn(move || chunk.iter().filter_map(read).collect::<Vec<_>>())).collect();
+        readers.into_iter().flat_map(|reader| reader.join().unwrap_or_else(|_| log_panic())).collect()
     });
-    sum_up(context, &loads);
+    record_domain_loads(context, &loads);
 }
 
-/// A reader that panicked gives no reports.
-fn failed() -> Vec<(String, u32, u32)> {
-    log::error!("probe: a reader failed by a fault of this program; its reports of this round are missing");
+/// Logs that a reader thread panicked. Returns no reports in place of those of the thread.
+fn log_panic() -> Vec<(String, u32, u32)> {
+    log::error!("probe: a reader thread panicked, its reports of this round are missing");
     Vec::new()
 }
 
-/// The servers of one round: those that we host, then the others in turn.
-fn chosen(all: Vec<Server<'_>>, hosted: impl Fn(BackendId) -> bool, turn: usize) -> Vec<Server<'_>> {
-    if all.len() <= PROBES {
+/// Selects the servers of one round: first those on which this daemon may run waiting work, then the others in
+/// rotation.
+fn select(all: Vec<Server<'_>>, hosted: impl Fn(BackendId) -> bool, round: usize) -> Vec<Server<'_>> {
+    if all.len() <= MAX_REPORTS_PER_ROUND {
         return all;
     }
-    let (mut chosen, others): (Vec<Server<'_>>, Vec<Server<'_>>) = all.into_iter().partition(|(id, _)| hosted(*id));
-    chosen.truncate(PROBES);
-    let room = PROBES - chosen.len();
-    let start = turn * room;
-    chosen.extend(others.iter().cycle().skip(start % others.len().max(1)).take(room.min(others.len())));
-    chosen
+    let (mut selected, others): (Vec<Server<'_>>, Vec<Server<'_>>) = all.into_iter().partition(|(id, _)| hosted(*id));
+    selected.truncate(MAX_REPORTS_PER_ROUND);
+    let remaining = MAX_REPORTS_PER_ROUND - selected.len();
+    let start = round * remaining;
+    selected.extend(others.iter().cycle().skip(start % others.len().max(1)).take(remaining.min(others.len())));
+    selected
 }
 
+/// Reads the report of one server and passes it to the engine. Returns the server's failure domain, load and slots.
 fn probe(context: &Arc<Context>, agent: &ureq::Agent, (id, instance): Server<'_>) -> Option<(String, u32, u32)> {
     let url = format!("http://{}/load", instance.address);
-    let read = agent.get(&url).call().and_then(|mut response| response.body_mut().read_to_vec());
-    let load = read.ok().and_then(|bytes| serde_json::from_slice::<Load>(&bytes).ok());
+    let body = agent.get(&url).call().and_then(|mut response| response.body_mut().read_to_vec());
+    let load = body.ok().and_then(|bytes| serde_json::from_slice::<Load>(&bytes).ok());
     let Some(load) = load else {
-        log::debug!("probe: report skipped server={}", instance.name);
+        log::debug!("probe: report not read server={}", instance.name);
         return None;
     };
     let now = context.now();
@@ -110,8 +112,8 @@
     Some((instance.domain.clone(), report.load, instance.slots))
 }
 
-/// Notes the load of each failure domain that was read.
-fn sum_up(context: &Context, loads: &[(String, u32, u32)]) {
+/// Records the total load of each failure domain whose servers were read.
+fn record_domain_loads(context: &Context, loads: &[(String, u32, u32)]) {
     let now = context.now();
     let mut sums: std::collections::BTreeMap<&str, Seen> = std::collections::BTreeMap::new();
     for (domain, busy, slots) in loads {
@@ -120,7 +122,7 @@
         sum.slots += slots;
     }
     let mut roster = lock(&context.roster);
-    for (domain, seen) in sums {
-        roster.loads_mut().note(domain, seen);
+    for (domain, sample) in sums {
+        roster.loads_mut().note(domain, sample);
     }
 }
--- a/crates/daemon/src/callers/connection.rs
+++ b/crates/daemon/src/callers/connection.rs
@@ -357,8 +357,8 @@
         self.read_deadline = Instant::now() + idle;
     }
 
-    /// Handles the read deadline: answers a request whose body is incomplete with an error. A connection that is idle, or
-    /// has sent only part of a head, is closed without a reply.
+    /// Handles the read deadline: a request with an incomplete body is answered with an error; a connection that is
+    /// idle or has sent only part of a head is closed without a reply.
     fn expire(&mut self) {
         self.closing = true;
         if self.parser.partial.is_some() {
