--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -1,4 +1,4 @@
-//! The callers' port against silent, slow, endless and ambiguous requests; one daemon in this process.
+//! Tests of the callers' port with silent, slow, endless and ambiguous requests, against a daemon in this process.
 
 use std::collections::BTreeMap;
 use std::io::{Read as _, Write as _};
@@ -18,7 +18,8 @@
 [classes.lookup]\nservice = \"s\"\npaths = [\"/stock\"]\nidempotent = true\nrank = 1\ntarget_ms = 100\ntarget_share = 0.99\ndeadline_ms = 2000\n\
 [classes.order]\nservice = \"s\"\npaths = [\"/orders\"]\nidempotent = false\nrank = 0\ntarget_ms = 100\ntarget_share = 0.99\ndeadline_ms = 2000\n";
 
-struct World {
+/// A daemon with a fake backend server, instance list and store.
+struct Harness {
     backend: Running,
     _list: fakes::list::Running,
     store: fakes::store::Running,
@@ -26,10 +27,11 @@
     address: String,
 }
 
-impl World {
+impl Harness {
+    /// Starts everything on the addresses `127.0.{net}.*` and waits until a request succeeds.
     fn new(net: u8) -> Self {
-        let backend = Running::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the stand-in starts");
-        let store = fakes::store::Running::start("127.0.0.1:0").expect("the stand-in starts");
+        let backend = Running::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the fake backend starts");
+        let store = fakes::store::Running::start("127.0.0.1:0").expect("the fake store starts");
         let instance = Instance {
             name: "b".to_owned(),
             role: Role::Backend,
@@ -44,7 +46,8 @@
             born: 0,
             state: State::Live,
         };
-        let list = fakes::list::Running::start("127.0.0.1:0", vec![instance], Duration::ZERO).expect("it starts");
+        let list =
+            fakes::list::Running::start("127.0.0.1:0", vec![instance], Duration::ZERO).expect("the fake list starts");
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let policy = folder.join(format!("port-{net}.toml"));
         std::fs::write(&policy, POLICY).expect("the file can be written");
@@ -57,33 +60,36 @@
             store.address(),
             list.address()
         );
-        let settings = Settings::parse("test", &text).expect("the settings are good");
+        let settings = Settings::parse("test", &text).expect("the settings are valid");
         let address = settings.callers.address.clone();
         let daemon = Daemon::start(settings, Adapter::own()).expect("the daemon starts");
-        let world = Self { backend, _list: list, store, daemon: Some(daemon), address };
-        while !world.talk("GET /stock HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").starts_with("HTTP/1.1 200") {
+        let harness = Self { backend, _list: list, store, daemon: Some(daemon), address };
+        while !harness
+            .exchange("GET /stock HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
+            .starts_with("HTTP/1.1 200")
+        {
             std::thread::sleep(Duration::from_millis(20));
         }
-        world
+        harness
     }
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.address).expect("the port is open");
-        stream.set_read_timeout(Some(Duration::from_secs(30))).expect("the option is known");
+        stream.set_read_timeout(Some(Duration::from_secs(30))).expect("the timeout can be set");
         stream
     }
 
-    /// Sends `text` and reads until the daemon closes.
-    fn talk(&self, text: &str) -> String {
+    /// Sends `text` on a new connection and reads until the daemon closes it.
+    fn exchange(&self, text: &str) -> String {
         let mut stream = self.connect();
-        stream.write_all(text.as_bytes()).expect("the daemon reads");
+        stream.write_all(text.as_bytes()).expect("the daemon accepts the request");
         let mut answer = Vec::new();
         drop(stream.read_to_end(&mut answer));
         String::from_utf8_lossy(&answer).into_owned()
     }
 }
 
-impl Drop for World {
+impl Drop for Harness {
     fn drop(&mut self) {
         if let Some(daemon) = self.daemon.take() {
             daemon.stop();
@@ -93,8 +99,8 @@
 
 #[test]
 fn bad_requests_get_a_clear_error_and_run_nothing() {
-    let world = World::new(51);
-    let before = world.backend.served();
+    let harness = Harness::new(51);
+    let before = harness.backend.served();
     let cases = [
         ("POST /stock HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n", "411", "length-required"),
         (
@@ -110,29 +116,31 @@
         ("nonsense\r\n\r\n", "400", ""),
     ];
     for (text, status, error) in cases {
-        let answer = world.talk(text);
+        let answer = harness.exchange(text);
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{text:?}: {answer:?}");
         assert!(answer.contains(error), "{text:?}: {answer:?}");
     }
-    assert_eq!(world.backend.served(), before, "nothing was run");
+    assert_eq!(harness.backend.served(), before, "no request ran");
 }
 
 #[test]
-fn slow_and_endless_senders_are_let_go() {
-    let world = World::new(52);
-    let slow_body = world.talk("POST /stock HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nab");
+fn slow_and_endless_senders_are_disconnected() {
+    let harness = Harness::new(52);
+    let slow_body = harness.exchange("POST /stock HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nab");
     assert!(slow_body.starts_with("HTTP/1.1 408"), "{slow_body:?}");
-    // A header that never comes, or never ends, ends the connection.
-    assert_eq!(world.talk("GET /stock HTTP/1.1\r\n"), "");
+    // A head that is never completed, or never ends, makes the daemon close the connection.
+    assert_eq!(harness.exchange("GET /stock HTTP/1.1\r\n"), "");
     let endless = format!("GET /stock HTTP/1.1\r\nhost: x\r\nx: {}", "y".repeat(100_000));
-    let mut stream = world.connect();
+    let mut stream = harness.connect();
     drop(stream.write_all(endless.as_bytes()));
     let mut answer = Vec::new();
     drop(stream.read_to_end(&mut answer));
     assert!(!String::from_utf8_lossy(&answer).contains(" 200 "));
-    // Silent callers in every place do not keep others out for good.
-    let silent: Vec<TcpStream> = (0..8).map(|_| world.connect()).collect();
-    assert!(world.talk("GET /stock HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").starts_with("HTTP/1.1 200"));
+    // Silent callers that use up `max_connections` do not keep other callers out permanently.
+    let silent: Vec<TcpStream> = (0..8).map(|_| harness.connect()).collect();
+    assert!(
+        harness.exchange("GET /stock HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").starts_with("HTTP/1.1 200")
+    );
     drop(silent);
 }
 
@@ -141,78 +149,84 @@
 #[case::silent("{\"silent\":true}", 54, "504", "backend-timeout")]
 #[case::shed("{\"shed\":true}", 55, "503", "not-run")]
 #[case::dead("{\"dead\":true}", 56, "502", "backend-lost")]
-fn an_order_that_went_wrong_is_told_truly(
+fn an_order_that_went_wrong_gets_a_truthful_error(
     #[case] faults: &str,
     #[case] net: u8,
     #[case] status: &str,
-    #[case] word: &str,
+    #[case] error: &str,
 ) {
-    let world = World::new(net);
-    world.backend.set_faults(serde_json::from_str(faults).expect("the faults are good"));
-    let answer = world.talk(
+    let harness = Harness::new(net);
+    harness.backend.set_faults(serde_json::from_str(faults).expect("the faults are valid"));
+    let answer = harness.exchange(
         "POST /orders HTTP/1.1\r\nhost: x\r\nconnection: close\r\nidempotency-key: k\r\ncontent-length: 0\r\n\r\n",
     );
     assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer:?}");
-    assert!(answer.contains(word), "{answer:?}");
-    assert!(world.backend.runs().get("k").copied().unwrap_or(0) <= 1);
+    assert!(answer.contains(error), "{answer:?}");
+    assert!(harness.backend.runs().get("k").copied().unwrap_or(0) <= 1);
 }
 
-/// Its address went to another server, which says so; the request was meant for neither.
+/// A backend server's address can pass to another server, which then refuses requests as misdirected. Such a request
+/// ran nowhere, so the caller may send it again.
 #[test]
-fn a_server_that_was_not_meant_runs_nothing() {
-    let world = World::new(60);
+fn a_misdirected_order_is_not_run() {
+    let harness = Harness::new(60);
     let order =
         "POST /orders HTTP/1.1\r\nhost: x\r\nconnection: close\r\nidempotency-key: k\r\ncontent-length: 0\r\n\r\n";
-    world.backend.set_faults(serde_json::from_str("{\"misdirected\":true}").expect("the faults are good"));
-    let refused = world.talk(order);
+    harness.backend.set_faults(serde_json::from_str("{\"misdirected\":true}").expect("the faults are valid"));
+    let refused = harness.exchange(order);
     assert!(refused.starts_with("HTTP/1.1 503") && refused.contains("not-run"), "{refused:?}");
-    assert_eq!(world.backend.runs().get("k"), None);
-    world.backend.set_faults(fakes::backend::Faults::default());
-    // The refusal was true: sent again, the order runs, once the server is tried anew.
+    assert_eq!(harness.backend.runs().get("k"), None);
+    harness.backend.set_faults(fakes::backend::Faults::default());
+    // The order did not run: sent again, it runs as soon as the daemon uses the server again.
     let mut answers = (0..500).map(|_| {
         std::thread::sleep(Duration::from_millis(20));
-        world.talk(order)
+        harness.exchange(order)
     });
     let answer = answers.find(|answer| !answer.starts_with("HTTP/1.1 503"));
     assert!(answer.is_some_and(|answer| answer.starts_with("HTTP/1.1 200")));
-    assert_eq!(world.backend.runs().get("k"), Some(&1));
+    assert_eq!(harness.backend.runs().get("k"), Some(&1));
 }
 
 #[test]
 fn a_session_runs_orders_without_the_store() {
-    let world = World::new(57);
-    let lookup = world.talk("GET /lookup HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-    let session = lookup.split("\"session\":\"").nth(1).and_then(|rest| rest.split('"').next()).expect("it is named");
-    world.store.set_faults(fakes::store::Faults { down: true, ..fakes::store::Faults::default() });
+    let harness = Harness::new(57);
+    let lookup = harness.exchange("GET /lookup HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+    let session = lookup
+        .split("\"session\":\"")
+        .nth(1)
+        .and_then(|rest| rest.split('"').next())
+        .expect("the answer names a session");
+    harness.store.set_faults(fakes::store::Faults { down: true, ..fakes::store::Faults::default() });
     let order = |session: &str| {
-        world.talk(&format!("POST /orders HTTP/1.1\r\nhost: x\r\nconnection: close\r\nidempotency-key: k\r\nidempotency-session: {session}\r\ncontent-length: 0\r\n\r\n"))
+        harness.exchange(&format!("POST /orders HTTP/1.1\r\nhost: x\r\nconnection: close\r\nidempotency-key: k\r\nidempotency-session: {session}\r\ncontent-length: 0\r\n\r\n"))
     };
     let first = order(session);
     assert!(first.starts_with("HTTP/1.1 200"), "{first:?}");
-    assert_eq!(order(session), first, "the same whole answer");
+    assert_eq!(order(session), first, "the same answer, replayed");
     let foreign = order("0000000000000001");
     assert!(foreign.contains("already-claimed"), "{foreign:?}");
-    assert_eq!(world.backend.runs().get("k"), Some(&1));
+    assert_eq!(harness.backend.runs().get("k"), Some(&1));
 }
 
 #[test]
-fn an_address_in_use_is_named() {
-    let world = World::new(58);
+fn an_address_in_use_is_named_in_the_error() {
+    let harness = Harness::new(58);
     let text = format!(
         "instance = \"f\"\ndomain = \"d\"\nregion = \"r\"\n[callers]\naddress = \"{}\"\n[operators]\naddress = \"127.0.58.2:7100\"\n[fleet]\naddress = \"127.0.58.2:7200\"\n",
-        world.address
+        harness.address
     );
-    let settings = Settings::parse("test", &text).expect("the settings are good");
-    let error = Daemon::start(settings, Adapter::own()).expect_err("the address is taken").to_string();
-    assert!(error.contains("callers.address") && error.contains(&world.address), "{error}");
+    let settings = Settings::parse("test", &text).expect("the settings are valid");
+    let error = Daemon::start(settings, Adapter::own()).expect_err("the address is in use").to_string();
+    assert!(error.contains("callers.address") && error.contains(&harness.address), "{error}");
 }
 
-/// Keeps the lines of all daemons in this process: sentence, and fields by name.
-struct Lines(Mutex<Vec<Line>>);
+/// A logger that records the lines of all daemons in this process.
+struct Recorder(Mutex<Vec<Line>>);
 
+/// The sentence of a log line, and its fields by name.
 type Line = (String, BTreeMap<String, String>);
 
-static LINES: Lines = Lines(Mutex::new(Vec::new()));
+static RECORDER: Recorder = Recorder(Mutex::new(Vec::new()));
 
 struct Fields(BTreeMap<String, String>);
 
@@ -223,7 +237,7 @@
     }
 }
 
-impl log::Log for Lines {
+impl log::Log for Recorder {
     fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         true
     }
@@ -231,7 +245,7 @@
     fn log(&self, record: &log::Record<'_>) {
         let mut fields = Fields(BTreeMap::new());
         record.key_values().visit(&mut fields).expect("all fields can be read");
-        self.0.lock().expect("no test panics here").push((record.args().to_string(), fields.0));
+        self.0.lock().expect("no test panics with the lock held").push((record.args().to_string(), fields.0));
     }
 
     fn flush(&self) {}
@@ -239,30 +253,31 @@
 
 #[test]
 fn each_decision_on_a_request_is_one_line_with_its_fields() {
-    log::set_logger(&LINES).expect("no other logger is set");
+    log::set_logger(&RECORDER).expect("no other logger is set");
     log::set_max_level(log::LevelFilter::Info);
-    let world = World::new(61);
+    let harness = Harness::new(61);
     let get = "GET /stock HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    assert!(world.talk(get).starts_with("HTTP/1.1 200"));
-    let incarnation = world.daemon.as_ref().expect("it runs").context().incarnation;
-    drop(world);
-    // Other tests' daemons log here too, and what they had begun before the logger was set is told by halves.
-    let ours = format!("{:08x}-", incarnation as u32);
-    let lines: Vec<Line> = LINES.0.lock().expect("no test panics here").clone();
+    assert!(harness.exchange(get).starts_with("HTTP/1.1 200"));
+    let incarnation = harness.daemon.as_ref().expect("the daemon runs").context().incarnation;
+    drop(harness);
+    // Daemons of other tests log here too, and requests that they started before the logger was set are logged only in
+    // part. The incarnation in the request ids selects the lines of this daemon.
+    let own_prefix = format!("{:08x}-", incarnation as u32);
+    let lines: Vec<Line> = RECORDER.0.lock().expect("no test panics with the lock held").clone();
     let mut by_request: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
-    for line in lines.iter().filter(|(_, fields)| fields.get("request").is_some_and(|id| id.starts_with(&ours))) {
+    for line in lines.iter().filter(|(_, fields)| fields.get("request").is_some_and(|id| id.starts_with(&own_prefix))) {
         by_request.entry(line.1["request"].as_str()).or_default().push(line);
     }
-    let told = |lines: &[&Line], sentence: &str| lines.iter().filter(|(text, _)| text == sentence).count();
+    let count = |lines: &[&Line], sentence: &str| lines.iter().filter(|(text, _)| text == sentence).count();
     let served = by_request
         .values()
         .find(|lines| lines.iter().any(|(_, fields)| fields.get("result").is_some_and(|result| result == "ok")));
-    let served = served.expect("the request is told of");
+    let served = served.expect("the request is logged");
     for sentence in ["dispatch: sent", "dispatch: attempt ended", "callers: answered"] {
-        assert_eq!(told(served, sentence), 1, "{sentence}: {served:?}");
+        assert_eq!(count(served, sentence), 1, "{sentence}: {served:?}");
     }
     let fields_of = |sentence: &str| served.iter().find(|(text, _)| text == sentence).map(|(_, fields)| fields.clone());
-    let sent = fields_of("dispatch: sent").expect("it was found before");
+    let sent = fields_of("dispatch: sent").expect("the line was counted before");
     for name in ["attempt", "server", "domain", "again", "own", "load", "pace", "told_ms", "waited_ms", "left_ms"] {
         assert!(sent.contains_key(name), "{name} is missing: {sent:?}");
     }
@@ -270,10 +285,10 @@
 
 #[test]
 fn requests_sent_at_once_on_one_connection_are_answered_in_their_order() {
-    let world = World::new(59);
+    let harness = Harness::new(59);
     let text = "GET /stock?work_ms=200 HTTP/1.1\r\nhost: x\r\nx-echo: slow\r\n\r\n\
 GET /stock?work_ms=1 HTTP/1.1\r\nhost: x\r\nx-echo: quick\r\nconnection: close\r\n\r\n";
-    let answers = world.talk(text);
+    let answers = harness.exchange(text);
     let (slow, quick) = (answers.find("echo=slow"), answers.find("echo=quick"));
     assert!(slow.is_some() && slow < quick, "{answers:?}");
     assert_eq!(answers.matches("HTTP/1.1 200").count(), 2);
