--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -271,6 +271,7 @@
     context.dialect.alone && !outgoing.idempotent
 }
 
+/// Sets a header; a value that is not valid in HTTP is left out and logged.
 fn insert_header(headers: &mut HeaderMap, name: &http::HeaderName, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => drop(headers.insert(name, value)),
--- a/crates/daemon/src/callers/connection.rs
+++ b/crates/daemon/src/callers/connection.rs
@@ -96,6 +96,7 @@
 }
 
 impl Parser {
+    /// Parses the next request; `buffer` may hold any part of it.
     fn next(&mut self, buffer: &mut BytesMut) -> Parsed {
         match self.try_next(buffer) {
             Ok(Some((head, body))) => Parsed::Request(head, body),
@@ -125,6 +126,7 @@
         Ok(self.partial.take().map(|partial| (partial.head, partial.body.freeze())))
     }
 
+    /// Checks the framing of a request's body against the limits and prepares to decode it.
     fn start_body(&mut self, head: head::Request) -> Result<Partial, Kind> {
         let framing = Framing::of_request(&head.headers);
         if head.headers.contains_key(TRANSFER_ENCODING) && !self.allow_chunked {
@@ -186,11 +188,11 @@
 }
 
 /// Serves one connection until it ends.
-pub async fn serve(context: Arc<Context>, mut stream: TcpStream, peer: IpAddr, mut stop: watch::Receiver<Phase>) {
+pub async fn serve(context: Arc<Context>, mut stream: TcpStream, peer: IpAddr, mut phase: watch::Receiver<Phase>) {
     let mut connection = Connection::new(context, peer, handle);
     let (mut reader, mut writer) = stream.split();
     loop {
-        connection.start_requests(*stop.borrow() == Phase::Closing);
+        connection.start_requests(*phase.borrow() == Phase::Closing);
         if connection.is_finished() {
             break;
         }
@@ -199,7 +201,7 @@
         let deadline = connection.next_deadline();
         tokio::select! {
             Some(ready) = connection.replies.next(), if !connection.replies.is_empty() => {
-                connection.write(&ready, *stop.borrow() >= Phase::Leaving);
+                connection.write(&ready, *phase.borrow() >= Phase::Leaving);
             }
             read = reader.read_buf(&mut connection.input), if may_read => match read {
                 Ok(bytes) if bytes > 0 => {}
@@ -218,7 +220,7 @@
                 }
                 connection.expire();
             }
-            changed = stop.changed() => if changed.is_err() { return },
+            changed = phase.changed() => if changed.is_err() { return },
         }
     }
     linger(&mut stream).await;
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -88,6 +88,8 @@
     idempotent: bool,
 }
 
+/// Dispatches a request of a class. An order with an idempotency key first passes the ledger, which may replay an
+/// earlier answer or refuse the order.
 async fn dispatch(context: &Arc<Context>, class: ClassMatch, incoming: Incoming, id: &str, now: Time) -> Outcome {
     let ClassMatch { position, idempotent } = class;
     let Incoming { head, body, .. } = incoming;
@@ -160,6 +162,7 @@
     }
 }
 
+/// What the dispatch engine needs of a request, from its class and headers.
 fn submission(context: &Context, class: usize, fingerprint: u64, headers: &HeaderMap) -> Submission {
     let dialect = &context.dialect;
     let milliseconds = head::text(headers, &dialect.deadline_ms).and_then(|text| text.trim().parse().ok());
@@ -172,6 +175,8 @@
     }
 }
 
+/// Reads the idempotency headers of an order. Fails if the key is missing or too long, or belongs to a session of
+/// another incarnation.
 fn order(context: &Context, headers: &HeaderMap, fingerprint: u64) -> Result<Order, Kind> {
     let key = head::text(headers, &IDEMPOTENCY_KEY).filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     let key = key.ok_or(Kind::KeyMissing)?;
@@ -189,6 +194,7 @@
     })
 }
 
+/// A hash of the method, the target and the body: equal for a request that is sent again.
 fn fingerprint(method: &str, target: &str, body: &Bytes) -> u64 {
     hash::pair(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
 }
--- a/crates/daemon/src/callers/server.rs
+++ b/crates/daemon/src/callers/server.rs
@@ -13,7 +13,7 @@
 use crate::plugin::Plugin;
 
 /// Time for which sent data may stay unacknowledged before a connection is dropped.
-const USER_TIMEOUT: Duration = Duration::from_secs(30);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(30);
 /// Idle time after which TCP keep-alive probes are sent.
 const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(30);
 /// While the port closes, accepting ends once no connection has arrived for this time.
@@ -27,18 +27,18 @@
 
 /// The accept loops of the port and its number of open connections.
 struct Port {
-    stop: watch::Sender<Phase>,
+    phase: watch::Sender<Phase>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
     open: Arc<AtomicUsize>,
 }
 
 impl kernel::Part for Port {
     fn withdraw(&mut self) {
-        self.stop.send_replace(Phase::Leaving);
+        self.phase.send_replace(Phase::Leaving);
     }
 
     fn drained(&mut self) -> bool {
-        self.stop.send_replace(Phase::Closing);
+        self.phase.send_replace(Phase::Closing);
         self.tasks.iter().all(tokio::task::JoinHandle::is_finished) && self.open.load(Ordering::Relaxed) == 0
     }
 
@@ -51,7 +51,7 @@
 
 fn start(context: &Arc<Context>) -> kernel::Started {
     let settings = &context.settings.callers;
-    let (stop, stopped) = watch::channel(Phase::Open);
+    let (phase, receiver) = watch::channel(Phase::Open);
     let open = Arc::new(AtomicUsize::new(0));
     let mut tasks = Vec::new();
     let addresses = [("callers.address", &settings.address), ("callers.lookup_address", &settings.lookup_address)];
@@ -59,23 +59,23 @@
         let listener = context
             .listen(address)
             .map_err(|error| format!("key `{key}`: cannot listen at {address}: {error}; choose a free address"))?;
-        let acceptor = Acceptor { context: Arc::clone(context), stopped: stopped.clone(), open: Arc::clone(&open) };
+        let acceptor = Acceptor { context: Arc::clone(context), phase: receiver.clone(), open: Arc::clone(&open) };
         tasks.push(context.runtime.spawn(acceptor.run(listener)));
     }
-    Ok(Box::new(Port { stop, tasks, open }))
+    Ok(Box::new(Port { phase, tasks, open }))
 }
 
 /// Accepts connections on one address until the port closes.
 struct Acceptor {
     context: Arc<Context>,
-    stopped: watch::Receiver<Phase>,
+    phase: watch::Receiver<Phase>,
     open: Arc<AtomicUsize>,
 }
 
 impl Acceptor {
     async fn run(mut self, listener: TcpListener) {
         let slots = Arc::new(Semaphore::new(self.context.settings.callers.max_connections as usize));
-        while *self.stopped.borrow() != Phase::Closing {
+        while *self.phase.borrow() != Phase::Closing {
             let Ok(slot) = Arc::clone(&slots).acquire_owned().await else {
                 return;
             };
@@ -87,7 +87,7 @@
                         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
-                changed = self.stopped.changed() => if changed.is_err() { return },
+                changed = self.phase.changed() => if changed.is_err() { return },
             }
         }
         self.drain_backlog(&listener, &slots).await;
@@ -108,7 +108,7 @@
             log::debug!("callers: socket options not set reason={:?}", error.to_string());
         }
         let (context, open) = (Arc::clone(&self.context), Arc::clone(&self.open));
-        let serving = connection::serve(Arc::clone(&context), stream, peer.ip(), self.stopped.clone());
+        let serving = connection::serve(Arc::clone(&context), stream, peer.ip(), self.phase.clone());
         open.fetch_add(1, Ordering::Relaxed);
         context.metrics.connections.inc();
         self.context.runtime.spawn(async move {
@@ -124,7 +124,7 @@
 fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     let socket = socket2::SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
     socket.set_keepalive(true)?;
     socket.set_tcp_keepalive(&socket2::TcpKeepalive::new().with_time(KEEP_ALIVE_AFTER))
 }
