--- a/crates/daemon/src/backends/announcement.rs
+++ b/crates/daemon/src/backends/announcement.rs
@@ -28,17 +28,17 @@
     }
     if let Some(pause) = head::text(headers, &RETRY_AFTER).and_then(parse_seconds) {
         let now = context.now();
-        context.driver.with(context, |engine| engine.note_pause(backend, pause, now));
+        context.driver.with_engine_mut(context, |engine| engine.record_pause(backend, pause, now));
     }
 }
 
 /// Records that a server is leaving. Returns whether this changed anything.
 pub fn record_leaving(context: &Arc<Context>, backend: BackendId) -> bool {
     let steering = context.steering();
-    let without_start = steering.backends.get(&backend).is_some_and(|instance| instance.born == 0);
+    let without_start = steering.backends.get(&backend).is_some_and(|instance| instance.started_at == 0);
     let now = context.now();
     let until = now + if without_start { LEAVING_MAX_AGE_WITHOUT_START } else { LEAVING_MAX_AGE };
-    context.driver.with(context, |engine| engine.note_leaving(backend, until, now))
+    context.driver.with_engine_mut(context, |engine| engine.record_leaving(backend, until, now))
 }
 
 /// Parses a number of seconds, with or without a fraction.
--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -15,12 +15,12 @@
 use http::{Method, StatusCode};
 
 use crate::Context;
+use crate::at_most_once;
 use crate::backends::{announcement, load};
+use crate::decision_log;
 use crate::driver::Outgoing;
-use crate::notes;
-use crate::orders;
+use crate::response::Response;
 use crate::stall;
-use crate::whole::Whole;
 
 /// Timeout of a cancellation request.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -58,7 +58,7 @@
     let elapsed = context.now().since(started);
     context.metrics.attempt_time.with_label_values(&[ending.name()]).observe(elapsed.as_secs_f64());
     let status = response.as_ref().map_or(0, |response| response.status.as_u16());
-    notes::ended(&outgoing, attempt.number, ending, status, elapsed);
+    decision_log::attempt_ended(&outgoing, attempt.number, ending, status, elapsed);
     context.driver.finish(&context, attempt.number, ending, response);
 }
 
@@ -75,8 +75,8 @@
             target: &url,
             headers: &host_header(target.address),
             body: &Bytes::new(),
-            max_answer: 0,
-            room: &shared.answers,
+            max_answer_bytes: 0,
+            budget: &shared.answer_memory,
         };
         let sent =
             async { Connection::open(target.address, UNACKED_TIMEOUT).await.ok()?.exchange(call, |_| true).await.ok() };
@@ -87,7 +87,11 @@
 }
 
 /// Runs the steps of an attempt. Returns how it ended, and the response if it is to be relayed to the caller.
-async fn execute(context: &Arc<Context>, outgoing: &Arc<Outgoing>, attempt: Attempt) -> (Ending, Option<Arc<Whole>>) {
+async fn execute(
+    context: &Arc<Context>,
+    outgoing: &Arc<Outgoing>,
+    attempt: Attempt,
+) -> (Ending, Option<Arc<Response>>) {
     if let Err(kind) = claim(context, outgoing, attempt.deadline).await {
         return (Ending::Withheld(kind), None);
     }
@@ -101,9 +105,9 @@
     let Ok(connection) = acquire_connection(context, outgoing, attempt, target.address).await else {
         return (Ending::Unreachable, None);
     };
-    stall::note(context);
+    stall::check(context);
     let now = context.now();
-    if !context.driver.look(|engine| engine.may_send(attempt.backend, now)) {
+    if !context.driver.with_engine(|engine| engine.may_send(attempt.backend, now)) {
         return (Ending::Recalled, None);
     }
     let exchange = exchange(context, outgoing, attempt, &target, connection);
@@ -121,13 +125,13 @@
 /// Ensures that this daemon holds the claim of an order before the order is sent. The calls to the store run on a
 /// blocking thread.
 async fn claim(context: &Arc<Context>, outgoing: &Arc<Outgoing>, deadline: Time) -> Result<(), Kind> {
-    if outgoing.order.is_none() {
+    if outgoing.keyed.is_none() {
         return Ok(());
     }
     let (context, outgoing) = (Arc::clone(context), Arc::clone(outgoing));
     let runtime = context.runtime.clone();
-    let claim = runtime.spawn_blocking(move || match &outgoing.order {
-        Some(order) => orders::claim(&context, order, deadline),
+    let claim = runtime.spawn_blocking(move || match &outgoing.keyed {
+        Some(keyed) => at_most_once::claim(&context, keyed, deadline),
         None => Ok(()),
     });
     claim.await.unwrap_or(Err(Kind::Internal))
@@ -147,7 +151,7 @@
     if let Some(pooled) = pooled {
         return Ok(pooled);
     }
-    context.metrics.connects.inc();
+    context.metrics.backend_connects.inc();
     let connect_timeout = Duration::from_millis(context.settings.dispatch.connect_ms);
     let limit = connect_timeout.min(attempt.deadline.since(now));
     tokio::time::timeout(limit, Connection::open(address, UNACKED_TIMEOUT)).await?
@@ -167,7 +171,7 @@
     // On a reused connection, a success without an id may be a late duplicate of the answer to an earlier request.
     let used = connection.used();
     let matches_id = |head: &head::Response| match head.headers.get(&dialect.request_id) {
-        _ if !dialect.callers_id => true,
+        _ if !dialect.caller_sets_id => true,
         None => !(used && head.status.is_success()),
         echoed => echoed == id.as_ref(),
     };
@@ -176,15 +180,15 @@
         target: &outgoing.target,
         headers: &headers,
         body: &outgoing.body,
-        max_answer: context.settings.dispatch.max_answer_bytes as usize,
-        room: &context.answers,
+        max_answer_bytes: context.settings.dispatch.max_answer_bytes as usize,
+        budget: &context.answer_memory,
     };
     record_remote_bytes(context, target, "sent", outgoing.body.len());
     let answer = connection.exchange(call, matches_id).await?;
     record_remote_bytes(context, target, "received", answer.body.len());
-    let identified = !dialect.callers_id || answer.headers.contains_key(&dialect.request_id);
+    let identified = !dialect.caller_sets_id || answer.headers.contains_key(&dialect.request_id);
     if answer.reusable && (identified || !answer.status.is_success()) {
-        context.pool.put(attempt.backend, connection, answer.idle_limit(), context.now());
+        context.pool.put(attempt.backend, connection, answer.keep_alive_timeout(), context.now());
     }
     Ok(answer)
 }
@@ -198,7 +202,7 @@
 
 /// Records the load and announcements in an answer. Returns how the attempt ended, and the response if it is to be
 /// relayed to the caller.
-fn classify_answer(context: &Arc<Context>, attempt: Attempt, answer: Answer) -> (Ending, Option<Arc<Whole>>) {
+fn classify_answer(context: &Arc<Context>, attempt: Attempt, answer: Answer) -> (Ending, Option<Arc<Response>>) {
     let dialect = &context.dialect;
     load::record(context, attempt.backend, &answer.headers);
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
@@ -206,14 +210,14 @@
         return (Ending::Unreachable, None);
     }
     announcement::apply(context, attempt.backend, answer.status, &answer.headers);
-    if dialect.says_not_run(&answer.headers) {
+    if dialect.is_not_run(&answer.headers) {
         return (Ending::Shed, None);
     }
     if dialect.cancel_path.is_some() && answer.status.as_u16() == 499 {
         return (Ending::Cancelled, None);
     }
     let signed = dialect.signature.as_ref().is_none_or(|name| answer.headers.contains_key(name));
-    let framed = dialect.until_close || answer.framed;
+    let framed = dialect.body_until_close || answer.framed;
     if !framed || (answer.status.is_success() && (!signed || answer.headers.contains_key(CONTENT_ENCODING))) {
         return (Ending::Cut, None);
     }
@@ -223,16 +227,16 @@
 
 /// Converts an answer into a response for the caller, without headers that frame the body, apply to one hop or are
 /// addressed to the daemon.
-fn to_response(context: &Context, answer: Answer) -> Whole {
+fn to_response(context: &Context, answer: Answer) -> Response {
     let mut headers = HeaderMap::with_capacity(answer.headers.len());
     let internal = [&context.dialect.load, &context.dialect.cold_ms];
     let is_relayed = |name: &http::HeaderName| {
-        *name != CONTENT_LENGTH && !head::is_hop(name.as_str()) && !internal.contains(&&Some(name.clone()))
+        *name != CONTENT_LENGTH && !head::is_hop_by_hop(name.as_str()) && !internal.contains(&&Some(name.clone()))
     };
     for (name, value) in answer.headers.iter().filter(|(name, _)| is_relayed(name)) {
         headers.append(name, value.clone());
     }
-    Whole { status: answer.status, headers, body: answer.body }
+    Response { status: answer.status, headers, body: answer.body }
 }
 
 /// The ending of an attempt whose exchange failed with `fault`.
@@ -252,7 +256,7 @@
     if !headers.contains_key(HOST) {
         headers.extend(host_header(target.address));
     }
-    if !dialect.callers_id {
+    if !dialect.caller_sets_id {
         insert_header(&mut headers, &dialect.request_id, &attempt_id(context, attempt.number));
     }
     let remaining_ms = attempt.deadline.since(context.now()).as_millis().max(1);
@@ -260,7 +264,7 @@
     if let Some(server) = &dialect.server {
         insert_header(&mut headers, server, &target.name);
     }
-    if needs_own_connection(context, outgoing) || (dialect.alone && attempt.retry) {
+    if needs_own_connection(context, outgoing) || (dialect.dedicated_connections && attempt.retry) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     headers
@@ -268,7 +272,7 @@
 
 /// Whether the request needs a connection that carries no other request.
 fn needs_own_connection(context: &Context, outgoing: &Outgoing) -> bool {
-    context.dialect.alone && !outgoing.idempotent
+    context.dialect.dedicated_connections && !outgoing.idempotent
 }
 
 /// Sets a header; a value that is not valid in HTTP is left out and logged.
--- a/crates/daemon/src/backends/load.rs
+++ b/crates/daemon/src/backends/load.rs
@@ -26,7 +26,7 @@
     );
     let pace = f64::from(reported.pace) / 100.0;
     let report = Report { load: reported.running + reported.waiting, draining: false, pace: Some(pace), at: now };
-    context.driver.note_report(backend, report);
+    context.driver.record_report(backend, report);
 }
 
 /// Parses `running,waiting,slots[,pace]`. `pace` defaults to 100.
--- a/crates/daemon/src/backends/probe.rs
+++ b/crates/daemon/src/backends/probe.rs
@@ -6,12 +6,12 @@
 
 use base::instance::Instance;
 use dispatch::backend::{BackendId, Report};
-use fleet::load::Seen;
+use fleet::load::Sample;
 use serde::Deserialize;
 
 use crate::Context;
 use crate::context::lock;
-use crate::plugin::{Loop, Plugin};
+use crate::plugin::{PeriodicThread, Plugin};
 
 /// Timeout for reading one report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -34,7 +34,7 @@
     age_ms: u64,
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     if context.catalog.is_some() {
         return Ok(Box::new(kernel::Idle));
     }
@@ -44,7 +44,7 @@
     let agent: ureq::Agent = config.into();
     let context = Arc::clone(context);
     let mut round = 0;
-    let running = Loop::start("probe", move || {
+    let running = PeriodicThread::start("probe", move || {
         run_round(&context, &agent, round);
         round += 1;
         pause
@@ -61,7 +61,7 @@
     let own = &context.settings.region;
     let servers = steering.backends.iter().map(|(id, instance)| (*id, &**instance));
     let all: Vec<Server<'_>> = servers.filter(|(_, instance)| instance.region == *own).collect();
-    let hosted: BTreeSet<BackendId> = context.driver.look(|engine| {
+    let hosted: BTreeSet<BackendId> = context.driver.with_engine(|engine| {
         let hosts = engine.backends().filter(|server| server.spec.hosts);
         hosts.map(|server| server.spec.id).collect()
     });
@@ -108,21 +108,21 @@
     let now = context.now();
     let at = now - Duration::from_millis(load.age_ms);
     let report = Report { load: load.busy + load.queued, draining: load.draining, pace: None, at };
-    context.driver.with(context, |engine| engine.report(id, report, now));
+    context.driver.with_engine_mut(context, |engine| engine.apply_report(id, report, now));
     Some((instance.domain.clone(), report.load, instance.slots))
 }
 
 /// Records the total load of each failure domain whose servers were read.
 fn record_domain_loads(context: &Context, loads: &[(String, u32, u32)]) {
     let now = context.now();
-    let mut sums: std::collections::BTreeMap<&str, Seen> = std::collections::BTreeMap::new();
+    let mut sums: std::collections::BTreeMap<&str, Sample> = std::collections::BTreeMap::new();
     for (domain, busy, slots) in loads {
-        let sum = sums.entry(domain).or_insert(Seen { busy: 0, slots: 0, at: now });
+        let sum = sums.entry(domain).or_insert(Sample { busy: 0, slots: 0, at: now });
         sum.busy += busy;
         sum.slots += slots;
     }
     let mut roster = lock(&context.roster);
     for (domain, sample) in sums {
-        roster.loads_mut().note(domain, sample);
+        roster.loads_mut().record(domain, sample);
     }
 }
--- a/crates/daemon/src/callers/connection.rs
+++ b/crates/daemon/src/callers/connection.rs
@@ -107,19 +107,19 @@
 
     fn try_next(&mut self, buffer: &mut BytesMut) -> Result<Option<(head::Request, Bytes)>, Kind> {
         if self.partial.is_none() {
-            let Some(head) = head::Request::take(buffer, self.max_head).map_err(error_kind)? else {
+            let Some(head) = head::Request::parse(buffer, self.max_head).map_err(error_kind)? else {
                 return Ok(None);
             };
             self.partial = Some(self.start_body(head)?);
         }
         let Some(partial) = &mut self.partial else { return Ok(None) };
-        while let Some(chunk) = partial.decoder.take(buffer).map_err(error_kind)? {
+        while let Some(chunk) = partial.decoder.decode(buffer).map_err(error_kind)? {
             if partial.body.len() as u64 + chunk.len() as u64 > self.max_body {
                 return Err(Kind::BodyTooLarge);
             }
             partial.body.extend_from_slice(&chunk);
         }
-        if !partial.decoder.ended() {
+        if !partial.decoder.is_complete() {
             return Ok(None);
         }
         self.expects_continue = false;
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -9,15 +9,15 @@
 use bytes::Bytes;
 use h1::head;
 use http::header::{CONTENT_LENGTH, EXPECT, HOST, HeaderMap, HeaderName};
-use ledger::table::Step;
+use ledger::table::Admission;
 
 use super::connection::Incoming;
 use super::reply::Reply;
 use crate::Context;
+use crate::at_most_once::{self, KeyedRequest};
 use crate::context::lock;
-use crate::dialect::Once;
+use crate::dialect::AtMostOnce;
 use crate::driver::{Outcome, Outgoing, Submission};
-use crate::orders::{self, Order};
 
 /// Identifies an order; the same on each retry of it.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
@@ -70,7 +70,7 @@
     let Some((name, class)) = found else {
         return (None, Err(Kind::UnknownRoute.into()));
     };
-    let Some(position) = in_force.class(name) else {
+    let Some(position) = in_force.class_position(name) else {
         return (None, Err(Kind::UnknownRoute.into()));
     };
     let (name, idempotent) = (name.to_owned(), class.idempotent);
@@ -94,33 +94,33 @@
     let ClassMatch { position, idempotent } = class;
     let Incoming { head, body, .. } = incoming;
     let fingerprint = fingerprint(head.method.as_str(), &head.target, &body);
-    let keyed = !idempotent && context.dialect.once == Once::Key;
+    let keyed = !idempotent && context.dialect.at_most_once == AtMostOnce::PerKey;
     let order = if keyed { Some(order(context, &head.headers, fingerprint)?) } else { None };
     if let Some(order) = &order {
-        match orders::begin(context, order) {
-            Step::Claim | Step::Run => {}
-            Step::Replay(response) => {
+        match at_most_once::begin(context, order) {
+            Admission::Claim | Admission::Run => {}
+            Admission::Replay(response) => {
                 context.metrics.replays.inc();
                 return Ok(response);
             }
-            Step::Refuse(kind) => return Err(kind.into()),
+            Admission::Refuse(kind) => return Err(kind.into()),
         }
     }
     let submission = submission(context, position, fingerprint, &head.headers);
     let object = context.dialect.object.as_ref().and_then(|name| head::text(&head.headers, name)).unwrap_or("-");
     let outgoing = Arc::new(Outgoing {
-        number: context.driver.number(),
+        number: context.driver.next_request_number(),
         id: id.to_owned(),
         object: object.to_owned(),
         method: head.method,
         target: head.target,
         headers: forwarded_headers(context, &head.headers),
         body,
-        gives_up: submission.limit.map(|limit| now + limit),
+        caller_deadline: submission.limit.map(|limit| now + limit),
         idempotent,
-        order,
+        keyed: order,
     });
-    if outgoing.order.is_some() {
+    if outgoing.keyed.is_some() {
         return run_order(context, outgoing, submission).await;
     }
     let mut guard = AbandonGuard { context: Arc::clone(context), request: Some(outgoing.number) };
@@ -135,17 +135,20 @@
     let task = context.runtime.spawn(async move {
         let outcome = shared.driver.submit(&shared, Arc::clone(&outgoing), submission).await;
         let outcome = outcome.unwrap_or_else(|_| Err(Kind::Internal.into()));
-        let Some(order) = &outgoing.order else { return outcome };
-        orders::withdraw(&shared, order);
-        orders::end(&shared, order, outcome)
+        let Some(order) = &outgoing.keyed else { return outcome };
+        at_most_once::withdraw(&shared, order);
+        at_most_once::finish(&shared, order, outcome)
     });
     task.await.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
 /// The id of a request in logs: the one that the caller gave to this send, or a new one.
 fn request_id(context: &Context, headers: &HeaderMap) -> String {
-    let given = head::text(headers, &context.dialect.request_id).filter(|_| context.dialect.callers_id);
-    given.map_or_else(|| format!("{:08x}-{}", context.incarnation as u32, context.driver.number()), str::to_owned)
+    let given = head::text(headers, &context.dialect.request_id).filter(|_| context.dialect.caller_sets_id);
+    given.map_or_else(
+        || format!("{:08x}-{}", context.incarnation as u32, context.driver.next_request_number()),
+        str::to_owned,
+    )
 }
 
 /// Abandons a request when it is dropped before the outcome is known, which happens when the caller disconnects.
@@ -177,7 +180,7 @@
 
 /// Reads the idempotency headers of an order. Fails if the key is missing or too long, or belongs to a session of
 /// another incarnation.
-fn order(context: &Context, headers: &HeaderMap, fingerprint: u64) -> Result<Order, Kind> {
+fn order(context: &Context, headers: &HeaderMap, fingerprint: u64) -> Result<KeyedRequest, Kind> {
     let key = head::text(headers, &IDEMPOTENCY_KEY).filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     let key = key.ok_or(Kind::KeyMissing)?;
     let session = head::text(headers, &IDEMPOTENCY_SESSION);
@@ -185,18 +188,18 @@
         // Only the incarnation that owns the session has a record of whether the key ran.
         return Err(Kind::AlreadyClaimed);
     }
-    Ok(Order {
-        key: orders::key_hash(session, key),
+    Ok(KeyedRequest {
+        key: at_most_once::key_hash(session, key),
         fingerprint,
-        session: session.is_some(),
-        revision: Mutex::new(None),
-        earlier: Mutex::new(None),
+        in_session: session.is_some(),
+        claim_revision: Mutex::new(None),
+        earlier_response: Mutex::new(None),
     })
 }
 
 /// A hash of the method, the target and the body: equal for a request that is sent again.
 fn fingerprint(method: &str, target: &str, body: &Bytes) -> u64 {
-    hash::pair(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
+    hash::combine(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
 }
 
 /// The host that the request's `Host` header names, without the port; empty if the header is missing.
@@ -211,7 +214,7 @@
     let mut forwarded = HeaderMap::with_capacity(headers.len());
     let is_forwarded = |name: &HeaderName| {
         let framing = *name == CONTENT_LENGTH || *name == EXPECT;
-        !framing && !head::is_hop(name.as_str()) && !context.dialect.sets(name)
+        !framing && !head::is_hop_by_hop(name.as_str()) && !context.dialect.is_set_by_daemon(name)
     };
     for (name, value) in headers.iter().filter(|(name, _)| is_forwarded(name)) {
         forwarded.append(name, value.clone());
@@ -234,5 +237,5 @@
     }
     let good = !server_fault && latency <= Duration::from_millis(target.target_ms);
     let now = context.now();
-    lock(&context.burn).entry(class.to_owned()).or_default().note(good, now);
+    lock(&context.burn).entry(class.to_owned()).or_default().record(good, now);
 }
--- a/crates/daemon/src/callers/lookup.rs
+++ b/crates/daemon/src/callers/lookup.rs
@@ -67,9 +67,9 @@
 fn handle_region(context: &Arc<Context>, region: &str) -> Reply {
     context.metrics.lookups.inc();
     let steering = context.steering();
-    let region = context.policy().region(region);
+    let region = context.policy().region_position(region);
     let limit = context.settings.callers.answer_entries as usize;
-    let found = steer::near::look_up(&steering.view, region, limit);
+    let found = steer::by_region::look_up(&steering.view, region, limit);
     let addresses: Vec<&str> =
         found.iter().filter_map(|position| Some(steering.view.entry(*position)?.address.as_str())).collect();
     if addresses.is_empty() {
--- a/crates/daemon/src/callers/reply.rs
+++ b/crates/daemon/src/callers/reply.rs
@@ -10,7 +10,7 @@
 
 use crate::dialect::Dialect;
 use crate::driver::Refusal;
-use crate::whole::Whole;
+use crate::response::Response;
 
 /// A reply with a complete body.
 #[derive(Debug, Clone)]
@@ -64,7 +64,7 @@
 
     /// The reply to a request that no backend server answered.
     pub fn refusal(refusal: Refusal, dialect: &Dialect) -> Self {
-        let Refusal { kind, after } = refusal;
+        let Refusal { kind, retry_after: after } = refusal;
         let answer = kind.answer();
         let mut reply =
             Self::json(&ErrorBody { error: kind.as_str(), outcome: answer.outcome.as_str(), advice: kind.advice() });
@@ -75,13 +75,13 @@
         }
         let default_after = answer.retry_after_s.map(|seconds| Duration::from_secs(seconds.into()));
         if let Some(after) = after.or(default_after) {
-            reply.headers.insert(RETRY_AFTER, retry_after(after, dialect.fractions));
+            reply.headers.insert(RETRY_AFTER, retry_after(after, dialect.fractional_retry_after));
         }
         reply
     }
 
     /// A backend server's response, passed on to the caller.
-    pub fn from_response(response: &Whole, dialect: &Dialect) -> Self {
+    pub fn from_response(response: &Response, dialect: &Dialect) -> Self {
         let mut headers = response.headers.clone();
         if let Some(outcome) = &dialect.outcome {
             headers.insert(outcome, HeaderValue::from_static("complete"));
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -28,7 +28,7 @@
     Policy(#[from] config::Error),
     /// A part did not start.
     #[error(transparent)]
-    Part(#[from] kernel::Error),
+    Component(#[from] kernel::Error),
     /// The system refused something at the start.
     #[error("start: {0}")]
     System(#[from] std::io::Error),
@@ -132,7 +132,7 @@
 
     fn start_on(runtime: Runtime, settings: Settings, adapter: Adapter) -> Result<Self> {
         let context = Arc::new(Context::new(settings, adapter, runtime.handle().clone()));
-        policies::from_settings(&context)?;
+        policies::apply_from_settings(&context)?;
         let kernel = kernel::Kernel::start(plugin::all(), &context)?;
         let readiness = operators::readiness(&context);
         log::info!(
@@ -165,10 +165,10 @@
     kernel.withdraw();
     tokio::time::sleep(Duration::from_millis(context.settings.callers.answer_kept_ms)).await;
     let limit = Duration::from_millis(context.settings.callers.stop_ms);
-    let mut drained = kernel.drained();
+    let mut drained = kernel.drain();
     while !drained && context.now().since(begun) < limit {
         tokio::time::sleep(LOOK).await;
-        drained = kernel.drained();
+        drained = kernel.drain();
     }
     // Parts give back what they hold in the store with calls that block, which need the event loop to go on.
     if let Err(error) = tokio::task::spawn_blocking(move || kernel.close()).await {
--- a/crates/daemon/src/mirror/check.rs
+++ b/crates/daemon/src/mirror/check.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use base::time::Time;
-use fleet::source::PATIENCE;
+use fleet::source::MAX_STALENESS;
 use store::{Error, Liveness};
 
 use super::{Turn, Upstream, gathering, note_failure, publish, store as direct, upstream};
@@ -42,7 +42,7 @@
         let now = context.now();
         let watches = upstream(&context, false, now) == Upstream::Store;
         if std::mem::replace(&mut before, watches) != watches {
-            context.learning.choose.notify_one();
+            context.mirror_sync.choose.notify_one();
             liveness = Liveness::new();
         }
         if known == 0 {
@@ -50,11 +50,11 @@
         }
         if watches {
             note_confirmed(&context, &liveness, known);
-            if liveness.overdue(known, now) {
+            if liveness.check_overdue(known, now) {
                 stalled(&context, known);
             }
         }
-        let due = now >= next && (watches || age.is_none_or(|age| age >= PATIENCE));
+        let due = now >= next && (watches || age.is_none_or(|age| age >= MAX_STALENESS));
         if !due {
             continue;
         }
@@ -72,18 +72,18 @@
 /// How long there is nothing to do.
 fn sleep(context: &Context, liveness: &Liveness, watches: bool, next: Time, now: Time) -> Duration {
     if watches {
-        let catching_up = if liveness.wake().is_some() { CATCHING_UP } else { LOOK };
+        let catching_up = if liveness.next_deadline().is_some() { CATCHING_UP } else { LOOK };
         return next.since(now).min(catching_up);
     }
     let age = lock(&context.mirror).age(now).unwrap_or_default();
-    PATIENCE.saturating_sub(age).max(next.since(now)).min(LOOK)
+    MAX_STALENESS.saturating_sub(age).max(next.since(now)).min(LOOK)
 }
 
 /// The watch hears nothing: it is asked anew, over a new connection.
 fn stalled(context: &Context, known: u64) {
     log::warn!("mirror: watch stalled, asked anew revision={known}");
     context.store.reconnect();
-    context.learning.choose.notify_one();
+    context.mirror_sync.choose.notify_one();
 }
 
 /// Asks for the store's revision beside our watch.
@@ -93,7 +93,7 @@
         Ok(revision) => {
             let now = context.now();
             let known = lock(&context.mirror).revision();
-            if liveness.answer(revision, known, gathering(context), sent, now) {
+            if liveness.record_answer(revision, known, gathering(context), sent, now) {
                 stalled(context, known);
             }
             note_confirmed(context, liveness, known);
@@ -101,7 +101,7 @@
         }
         Err(error) => {
             note_failure(context, &Upstream::Store, &error);
-            liveness.fail();
+            liveness.record_failure();
             // The next one must not go over a connection that may be silent for good.
             context.store.reconnect();
             Err(error)
@@ -113,7 +113,7 @@
 fn note_confirmed(context: &Context, liveness: &Liveness, known: u64) {
     let Some(as_of) = liveness.confirmed(known) else { return };
     if lock(&context.mirror).confirm(as_of) {
-        context.learning.tell();
+        context.mirror_sync.tell();
     }
 }
 
@@ -141,7 +141,7 @@
             if changed {
                 publish::publish(context, catalog);
             }
-            context.learning.tell();
+            context.mirror_sync.tell();
             Ok(())
         }
         Err(error) => {
--- a/crates/daemon/src/mirror/mod.rs
+++ b/crates/daemon/src/mirror/mod.rs
@@ -14,7 +14,7 @@
 
 use ::store::Error;
 use base::time::Time;
-use fleet::source::{Avoided, PATIENCE, Source};
+use fleet::source::{Backoff, MAX_STALENESS, Source};
 use tokio::sync::{Notify, watch};
 
 pub use self::follow::{LONGEST_WAIT, changes};
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Learning {
     /// Sources that were found silent or stale.
-    avoided: std::sync::Mutex<Avoided>,
+    avoided: std::sync::Mutex<Backoff>,
     /// Told when the copy has learnt something, or is known to hold all again.
     news: watch::Sender<()>,
     /// Told when the source should be chosen anew.
@@ -89,13 +89,13 @@
 
 struct Tasks(Vec<tokio::task::JoinHandle<()>>);
 
-impl kernel::Part for Tasks {
+impl kernel::Component for Tasks {
     fn close(&mut self) {
         self.0.iter().for_each(tokio::task::JoinHandle::abort);
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let Some(catalog) = context.catalog else {
         return Ok(Box::new(kernel::Idle));
     };
@@ -123,17 +123,19 @@
 fn upstream(context: &Context, all: bool, now: Time) -> Upstream {
     let settings = &context.settings;
     let roster = lock(&context.roster);
-    let avoided = lock(&context.learning.avoided);
+    let avoided = lock(&context.mirror_sync.avoided);
     let in_region = |domain: &str| settings.domains.get(domain) == Some(&settings.region);
     let region: BTreeMap<&str, &str> = roster
-        .answering()
+        .responsive_members()
         .filter(|(name, domain)| *name == settings.instance || in_region(domain))
-        .filter(|(name, _)| all || *name == settings.instance || !avoided.holds(name, now))
+        .filter(|(name, _)| all || *name == settings.instance || !avoided.is_active(name, now))
         .collect();
     let source = fleet::source::choose(&settings.instance, &region);
     match source {
         Source::Store => Upstream::Store,
-        Source::First(name) | Source::Near(name) => Upstream::Member { name: name.to_owned(), stale: source.stale() },
+        Source::RegionLeader(name) | Source::DomainLeader(name) => {
+            Upstream::Member { name: name.to_owned(), stale: source.stale_after() }
+        }
     }
 }
 
@@ -160,14 +162,14 @@
             Ok(Turn::Changed) => {
                 (forgotten, pause) = (false, FIRST_PAUSE);
                 publish::publish(&context, catalog);
-                context.learning.tell();
+                context.mirror_sync.tell();
                 if source == Upstream::Store {
                     tokio::time::sleep(gathering(&context)).await;
                 }
             }
             Ok(Turn::Same) => {
                 (forgotten, pause) = (false, FIRST_PAUSE);
-                context.learning.tell();
+                context.mirror_sync.tell();
             }
             Ok(Turn::Forgotten) => {
                 log::info!("mirror: history forgotten by the store, listing anew");
@@ -182,7 +184,7 @@
                 tokio::time::sleep(waited).await;
                 if lock(&context.mirror).revision() == 0 && ask_anyone(&context, &mut following).await {
                     publish::publish(&context, catalog);
-                    context.learning.tell();
+                    context.mirror_sync.tell();
                 }
                 pause = if member { pause } else { (pause * 2).min(longest) };
             }
@@ -194,7 +196,7 @@
 /// now.
 async fn begin(context: &Arc<Context>, catalog: Catalog, following: &mut follow::Following) {
     let from_peer = async {
-        let mut joined = context.learning.joined.subscribe();
+        let mut joined = context.mirror_sync.joined.subscribe();
         if tokio::time::timeout(JOINING, joined.wait_for(|joined| *joined)).await.is_err() {
             log::info!("mirror: does not wait for peers any longer");
         }
@@ -212,7 +214,7 @@
     };
     if got {
         publish::publish(context, catalog);
-        context.learning.tell();
+        context.mirror_sync.tell();
     }
 }
 
@@ -222,13 +224,13 @@
     let mut members: Vec<(bool, String)> = {
         let roster = lock(&context.roster);
         let far = |domain: &str| context.settings.domains.get(domain) != Some(&context.settings.region);
-        let others = roster.answering().filter(|(name, _)| *name != context.settings.instance);
+        let others = roster.responsive_members().filter(|(name, _)| *name != context.settings.instance);
         others.map(|(name, domain)| (far(domain), name.to_owned())).collect()
     };
     fastrand::Rng::with_seed(context.incarnation).shuffle(&mut members);
     members.sort_by_key(|(far, _)| *far);
     for (_, name) in members.into_iter().take(ASKED) {
-        if following.turn(context, &name, PATIENCE).await.is_ok_and(|turn| matches!(turn, Turn::Changed)) {
+        if following.turn(context, &name, MAX_STALENESS).await.is_ok_and(|turn| matches!(turn, Turn::Changed)) {
             return true;
         }
     }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -26,13 +26,13 @@
 
 struct Port(Vec<Arc<Server>>);
 
-impl kernel::Part for Port {
+impl kernel::Component for Port {
     fn close(&mut self) {
         self.0.iter().for_each(|server| server.unblock());
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let settings = &context.settings.operators;
     let addresses =
         [("operators.address", &settings.address), ("operators.metrics_address", &settings.metrics_address)];
@@ -68,7 +68,7 @@
 /// Whether the daemon is ready, and if not, why.
 pub fn readiness(context: &Context) -> Readiness {
     let mut missing = Vec::new();
-    let prepared = context.rests_on();
+    let prepared = context.prepared();
     if context.stopping() {
         missing.push("stopping");
     }
@@ -172,7 +172,7 @@
     let in_force = context.policy();
     let steering = context.steering();
     let roster = lock(&context.roster);
-    let words: BTreeMap<&str, Option<Duration>> = roster.words(now).collect();
+    let words: BTreeMap<&str, Option<Duration>> = roster.silence(now).collect();
     let members = roster.records().into_iter().map(|record| Member {
         silent_s: words.get(record.name.as_str()).copied().flatten().map(|age| age.as_secs_f64()),
         name: record.name,
@@ -184,18 +184,18 @@
     drop(words);
     drop(roster);
     let regions = in_force.regions.len() as u16;
-    let row = |from: u16| (0..regions).map(|to| steering.shares.part(from, to)).collect();
+    let row = |from: u16| (0..regions).map(|to| steering.shares.share(from, to)).collect();
     let name = |id: u32| steering.backends.get(&id).map_or_else(|| id.to_string(), |known| known.name.clone());
-    let backends = context.driver.look(|engine| {
+    let backends = context.driver.with_engine(|engine| {
         let backend = |server: &dispatch::backend::Backend| Backend {
             name: name(server.spec.id),
             in_flight: server.in_flight,
             limit: server.limit(),
             load: server.load(now),
-            ratio: server.ratio(),
+            ratio: server.latency_ratio(),
             leaving: server.leaving(),
             suspect: server.suspect(),
-            closed: server.closed(now),
+            closed: server.unavailable(now),
             hosts_waiting_work: server.spec.hosts,
         };
         engine.backends().map(backend).collect()
@@ -205,25 +205,25 @@
         instance: context.settings.instance.clone(),
         region: context.settings.region.clone(),
         domain: context.settings.domain.clone(),
-        revision: context.rests_on().revision,
+        revision: context.prepared().revision,
         ready: readiness(context),
-        store_silent_s: age_s(&context.store_seen, now),
+        store_silent_s: age_s(&context.store_answered_at, now),
         members,
         entries: steering.view.entries().iter().map(entry).collect(),
         shares: (0..regions).map(row).collect(),
-        grant_share: lock(&context.keeper).share(now),
+        grant_share: lock(&context.grant_manager).share(now),
         backends,
-        open: context.driver.look(dispatch::Engine::open),
-        queued: context.driver.look(dispatch::Engine::queued),
-        poisonous: context.driver.look(|engine| engine.poisonous(now)),
+        open: context.driver.with_engine(dispatch::Engine::open_requests),
+        queued: context.driver.with_engine(dispatch::Engine::queued),
+        poisonous: context.driver.with_engine(|engine| engine.quarantined(now)),
         drains: in_force.policy.drains.clone(),
         passed_over: passed_over(context),
     }
 }
 
 fn passed_over(context: &Context) -> Vec<String> {
-    let known = lock(&context.servers);
-    known.policy_refused.iter().chain(&known.policy_passed_over).chain(&known.refused).cloned().collect()
+    let known = lock(&context.catalog_state);
+    known.policy_error.iter().chain(&known.policy_passed_over).chain(&known.entries_passed_over).cloned().collect()
 }
 
 /// Seconds since `seen`, a time in microseconds of the clock.
@@ -234,9 +234,9 @@
 /// Brings the ages of what is believed up to date.
 fn note_ages(context: &Context) {
     let now = context.now();
-    let listed = lock(&context.list).read.unwrap_or(Time::ZERO);
-    context.metrics.store_age.set(age_s(&context.store_seen, now));
-    context.metrics.peers_age.set(age_s(&context.peers_seen, now));
+    let listed = lock(&context.instance_list).read_at.unwrap_or(Time::ZERO);
+    context.metrics.store_age.set(age_s(&context.store_answered_at, now));
+    context.metrics.peers_age.set(age_s(&context.peer_answered_at, now));
     note_words(context, now);
     context.metrics.list_age.set(now.since(listed).as_secs_f64());
     context.metrics.log_lines_left_out.set(logs::left_out() as i64);
@@ -247,7 +247,7 @@
     let roster = lock(&context.roster);
     for seconds in SILENCES_S {
         let limit = Duration::from_secs(seconds);
-        let silent = roster.words(now).filter(|(_, age)| age.is_none_or(|age| age > limit)).count();
+        let silent = roster.silence(now).filter(|(_, age)| age.is_none_or(|age| age > limit)).count();
         context.metrics.silent_peers.with_label_values(&[&seconds.to_string()]).set(silent as i64);
     }
 }
--- a/crates/daemon/src/peers/api.rs
+++ b/crates/daemon/src/peers/api.rs
@@ -1,18 +1,18 @@
 //! The calls between daemons.
 
-use fleet::Copy;
+use fleet::Document;
 use fleet::message::{Message, Snapshot};
 use jsonrpsee::proc_macros::rpc;
 use serde::{Deserialize, Serialize};
 use store::Changes;
 
-use crate::whole::Packed;
+use crate::response::WireResponse;
 
 /// What a daemon can say of a key it claimed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
     /// It ran, and this was the answer.
-    Ran(Packed),
+    Ran(WireResponse),
     /// It runs now.
     Running,
     /// It never ran and never will under its claim.
@@ -30,7 +30,7 @@
 
     /// The policy in force if its revision is above `after`.
     #[method(name = "policy")]
-    async fn policy(&self, after: u64) -> Result<Option<Copy>, jsonrpsee::types::ErrorObjectOwned>;
+    async fn policy(&self, after: u64) -> Result<Option<Document>, jsonrpsee::types::ErrorObjectOwned>;
 
     /// All that a starting daemon needs.
     #[method(name = "snapshot")]
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -25,7 +25,7 @@
 
 struct Exchange(tokio::task::JoinHandle<()>, Arc<Context>);
 
-impl kernel::Part for Exchange {
+impl kernel::Component for Exchange {
     fn withdraw(&mut self) {
         lock(&self.1.roster).leave();
         super::tell_leaving(&self.1);
@@ -36,11 +36,11 @@
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         join(&shared).await;
-        shared.learning.note_joined();
+        shared.mirror_sync.note_joined();
         run(&shared).await;
     });
     Ok(Box::new(Exchange(task, Arc::clone(context))))
@@ -48,14 +48,14 @@
 
 /// The message for a peer.
 pub fn message(context: &Context) -> Message {
-    let revision = lock(&context.holder).revision();
+    let revision = lock(&context.policy_replica).revision();
     let now = context.now();
     lock(&context.roster).message(revision, now)
 }
 
 /// The answer to a peer's message.
 pub fn answer(context: &Context, message: &Message) -> Message {
-    let revision = lock(&context.holder).revision();
+    let revision = lock(&context.policy_replica).revision();
     let now = context.now();
     lock(&context.roster).answer(message, revision, now)
 }
@@ -65,15 +65,15 @@
     let now = context.now();
     lock(&context.roster).merge(message, now);
     if !message.losses.is_empty() {
-        let news = context.driver.with(context, |engine| engine.merge_losses(&message.losses, now));
+        let news = context.driver.with_engine_mut(context, |engine| engine.merge_losses(&message.losses, now));
         // A single loss is mostly a connection's own end; told at once by all to all, each one costs more than its request.
         if super::spread_losses(context, &news) {
             super::tell_urgent(context);
         }
     }
     super::spread_leaving(context, &message.leaving);
-    if lock(&context.holder).wants(message.revision) {
-        let address = message.from.peers.clone();
+    if lock(&context.policy_replica).needs(message.revision) {
+        let address = message.from.peer_address.clone();
         let context = Arc::clone(context);
         let runtime = context.runtime.clone();
         runtime.spawn(async move { fetch(&context, &address).await });
@@ -88,26 +88,26 @@
     match client.exchange(message).await {
         Ok(answer) => {
             context.metrics.exchanges.with_label_values(&["ok"]).inc();
-            context.peers_seen.store(context.now().as_micros(), Ordering::Relaxed);
+            context.peer_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
             take(context, &answer);
         }
         Err(error) => {
             context.metrics.exchanges.with_label_values(&["failed"]).inc();
             log::debug!("peers: exchange failed peer={name} reason={:?}", error.to_string());
             let now = context.now();
-            lock(&context.roster).failed(name, now);
+            lock(&context.roster).record_failure(name, now);
         }
     }
 }
 
 async fn fetch(context: &Arc<Context>, address: &str) {
-    let after = lock(&context.holder).revision();
+    let after = lock(&context.policy_replica).revision();
     let Some(client) = client::client(context, address) else {
         return;
     };
     match client.policy(after).await {
         Ok(Some(copy)) => {
-            if policies::offer(context, copy, address) {
+            if policies::apply(context, copy, address) {
                 super::tell_revision(context);
             }
         }
@@ -129,7 +129,7 @@
         };
         match client.snapshot().await {
             Ok(snapshot) => {
-                let starting = !snapshot.copy && context.settings.fleet.first_start;
+                let starting = !snapshot.has_mirror && context.settings.fleet.first_start;
                 adopt(context, snapshot, seed);
                 if starting && context.catalog.is_some() {
                     meet(context, seed).await;
@@ -148,13 +148,13 @@
 /// Takes in what a peer knows.
 fn adopt(context: &Arc<Context>, snapshot: Snapshot, seed: &str) {
     let now = context.now();
-    lock(&context.roster).adopt(&snapshot, now);
+    lock(&context.roster).merge_snapshot(&snapshot, now);
     for server in &snapshot.leaving {
         announcement::record_leaving(context, *server);
     }
     log::info!("peers: joined through peer={seed} members={}", snapshot.records.len());
     if let Some(copy) = snapshot.policy {
-        policies::offer(context, copy, seed);
+        policies::apply(context, copy, seed);
     }
 }
 
@@ -180,7 +180,7 @@
         let target = {
             let mut roster = lock(&context.roster);
             roster.tick(now);
-            roster.target(now)
+            roster.next_target(now)
         };
         if let Some((name, address)) = target {
             with(context, &name, &address, message(context)).await;
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fleet::Copy;
+use fleet::Document;
 use fleet::message::{Message, Snapshot};
 use jsonrpsee::core::async_trait;
 use jsonrpsee::server::{ServerConfig, ServerHandle};
@@ -13,9 +13,9 @@
 use super::api::{PeersServer, Word};
 use super::exchange;
 use crate::Context;
+use crate::at_most_once;
 use crate::context::lock;
 use crate::mirror;
-use crate::orders;
 use crate::plugin::Plugin;
 
 /// Connections of peers at most.
@@ -38,18 +38,18 @@
         Ok(exchange::answer(&self.context, &message))
     }
 
-    async fn policy(&self, after: u64) -> Result<Option<Copy>, ErrorObjectOwned> {
-        let holder = lock(&self.context.holder);
-        Ok(holder.copy().filter(|copy| copy.revision > after).cloned())
+    async fn policy(&self, after: u64) -> Result<Option<Document>, ErrorObjectOwned> {
+        let holder = lock(&self.context.policy_replica);
+        Ok(holder.document().filter(|copy| copy.revision > after).cloned())
     }
 
     async fn snapshot(&self) -> Result<Snapshot, ErrorObjectOwned> {
         let records = lock(&self.context.roster).records();
-        let policy = lock(&self.context.holder).copy().cloned();
+        let policy = lock(&self.context.policy_replica).document().cloned();
         let now = self.context.now();
-        let leaving = self.context.driver.look(|engine| engine.leaving(now).collect());
-        let copy = lock(&self.context.mirror).revision() > 0;
-        Ok(Snapshot { records, policy, leaving, copy })
+        let leaving = self.context.driver.with_engine(|engine| engine.leaving_backends(now).collect());
+        let has_mirror = lock(&self.context.mirror).revision() > 0;
+        Ok(Snapshot { records, policy, leaving, has_mirror })
     }
 
     async fn changes(&self, after: u64, from: String, wait_ms: u64) -> Result<Option<Changes>, ErrorObjectOwned> {
@@ -61,18 +61,18 @@
         let (Ok(key), true) = (key, incarnation == self.context.incarnation) else {
             return Ok(Word::Unknown);
         };
-        Ok(match orders::word(&self.context, key) {
-            ledger::make::Word::Ran(whole) => Word::Ran(whole.as_ref().clone().into()),
-            ledger::make::Word::Running => Word::Running,
-            ledger::make::Word::NeverRun => Word::NeverRun,
-            ledger::make::Word::Unknown => Word::Unknown,
+        Ok(match at_most_once::claim_status(&self.context, key) {
+            ledger::acquire::Status::Ran(whole) => Word::Ran(whole.as_ref().clone().into()),
+            ledger::acquire::Status::Running => Word::Running,
+            ledger::acquire::Status::NeverRun => Word::NeverRun,
+            ledger::acquire::Status::Unknown => Word::Unknown,
         })
     }
 }
 
 struct Port(Option<ServerHandle>);
 
-impl kernel::Part for Port {
+impl kernel::Component for Port {
     fn close(&mut self) {
         let stopped = self.0.take().map(|handle| handle.stop());
         if stopped.is_some_and(|stopped| stopped.is_err()) {
@@ -81,7 +81,7 @@
     }
 }
 
-fn start(context: &Arc<Context>) -> kernel::Started {
+fn start(context: &Arc<Context>) -> kernel::StartResult {
     let address = context.settings.fleet.address.clone();
     let config = ServerConfig::builder()
         .max_connections(MAX_CONNECTIONS)
--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -9,7 +9,7 @@
 use base::instance::{Instance, Role, State};
 use config::configs::Settings;
 use daemon::adapter::Adapter;
-use daemon::life::Daemon;
+use daemon::lifecycle::Daemon;
 use fakes::backend::{Running, Setup};
 use log::kv::{Key, Value, VisitSource};
 use rstest::rstest;
@@ -43,7 +43,7 @@
             operators: String::new(),
             slots: 3,
             connections: 10,
-            born: 0,
+            started_at: 0,
             state: State::Live,
         };
         let list =
@@ -62,7 +62,7 @@
         );
         let settings = Settings::parse("test", &text).expect("the settings are valid");
         let address = settings.callers.address.clone();
-        let daemon = Daemon::start(settings, Adapter::own()).expect("the daemon starts");
+        let daemon = Daemon::start(settings, Adapter::native()).expect("the daemon starts");
         let harness = Self { backend, _list: list, store, daemon: Some(daemon), address };
         while !harness
             .exchange("GET /stock HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
@@ -216,7 +216,7 @@
         harness.address
     );
     let settings = Settings::parse("test", &text).expect("the settings are valid");
-    let error = Daemon::start(settings, Adapter::own()).expect_err("the address is in use").to_string();
+    let error = Daemon::start(settings, Adapter::native()).expect_err("the address is in use").to_string();
     assert!(error.contains("callers.address") && error.contains(&harness.address), "{error}");
 }
 
--- a/crates/daemon/tests/view.rs
+++ b/crates/daemon/tests/view.rs
@@ -9,11 +9,11 @@
 use config::policy::Policy;
 use daemon::adapter::Adapter;
 use daemon::context::{Context, lock};
-use daemon::list::Item;
+use daemon::instance_list::Item;
 use daemon::{policies, view};
 use dispatch::engine::Arrival;
 use dispatch::{Action, Ending, Engine};
-use fleet::Copy;
+use fleet::Document;
 use fleet::message::{Record, Snapshot, State as Standing};
 use rstest::rstest;
 
@@ -37,7 +37,7 @@
         operators: String::new(),
         slots: 3,
         connections: 10,
-        born: 0,
+        started_at: 0,
         state: State::Live,
     }
 }
@@ -45,16 +45,16 @@
 fn context(runtime: &tokio::runtime::Runtime, servers: Vec<Instance>) -> Arc<Context> {
     let settings =
         Settings { instance: "e".to_owned(), domain: "d".to_owned(), region: "r".to_owned(), ..Settings::default() };
-    let context = Context::new(settings, Adapter::own(), runtime.handle().clone());
+    let context = Context::new(settings, Adapter::native(), runtime.handle().clone());
     let items = servers.into_iter().map(|server| Item::new(server, Time::ZERO)).collect();
-    lock(&context.list).take(items, context.now());
+    lock(&context.instance_list).replace(items, context.now());
     Arc::new(context)
 }
 
 /// The policy of a revision: the server `b0` is drained in each second one.
-fn policy(revision: u64) -> Copy {
+fn policy(revision: u64) -> Document {
     let drain = if drained(revision) { "[[drains]]\nscope = \"instance\"\nname = \"b0\"\n" } else { "" };
-    Copy::new(revision, format!("{POLICY}{drain}"))
+    Document::new(revision, format!("{POLICY}{drain}"))
 }
 
 const fn drained(revision: u64) -> bool {
@@ -77,9 +77,10 @@
                 });
             }
             start.wait();
-            assert!(policies::offer(&context, policy(revision), "test"));
+            assert!(policies::apply(&context, policy(revision), "test"));
         });
-        let leaving = context.driver.look(|engine| engine.backends().filter(|server| server.spec.leaving).count());
+        let leaving =
+            context.driver.with_engine(|engine| engine.backends().filter(|server| server.spec.leaving).count());
         if leaving != usize::from(drained(revision)) {
             stale.push(revision);
         }
@@ -88,21 +89,21 @@
 }
 
 /// The policy of a revision: its class and its service are new.
-fn growing(revision: u64) -> Copy {
+fn growing(revision: u64) -> Document {
     let class = POLICY.replace("classes.lookup", &format!("classes.c{revision}"));
-    Copy::new(revision, class.replace("\"s\"", &format!("\"s{revision}\"")))
+    Document::new(revision, class.replace("\"s\"", &format!("\"s{revision}\"")))
 }
 
 /// Sends a request and ends what it starts; says whether anything was started.
 fn send(engine: &mut Engine, request: u64, class: usize, now: Time) -> bool {
     engine.submit(Arrival::new(request, class, request, 10), now);
-    let started = engine.take().into_iter().find_map(|action| match action {
+    let started = engine.take_actions().into_iter().find_map(|action| match action {
         Action::Start { attempt, .. } => Some(attempt),
         _ => None,
     });
     started.into_iter().for_each(|attempt| engine.finish(attempt, Ending::Answered(1), now));
     engine.abandon(request, now);
-    engine.take();
+    engine.take_actions();
     started.is_some()
 }
 
@@ -122,8 +123,9 @@
                     continue;
                 }
                 seen = in_force.revision;
-                let class = in_force.class(&format!("c{seen}")).expect("it is in force");
-                let started = context.driver.with(&context, |engine| send(engine, seen, class, context.now()));
+                let class = in_force.class_position(&format!("c{seen}")).expect("it is in force");
+                let started =
+                    context.driver.with_engine_mut(&context, |engine| send(engine, seen, class, context.now()));
                 // A class that went out of force meanwhile may get no work.
                 if !started && context.policy().revision == seen {
                     refused.push(seen);
@@ -132,7 +134,7 @@
             refused
         });
         for revision in 1..=ROUNDS {
-            assert!(policies::offer(&context, growing(revision), "test"));
+            assert!(policies::apply(&context, growing(revision), "test"));
         }
         asking.join().expect("a request of a class in force is no fault")
     });
@@ -147,21 +149,23 @@
     let entry = Instance { name: "e2".to_owned(), role: Role::Entry, ..server(100, String::new()) };
     servers.push(entry);
     let context = context(&runtime, servers);
-    assert!(policies::offer(&context, policy(1), "test"));
+    assert!(policies::apply(&context, policy(1), "test"));
     let before = context.steering();
     view::refresh(&context);
     assert!(Arc::ptr_eq(&before, &context.steering()), "nothing changed");
 
-    let fewer = lock(&context.list).items.iter().skip(1).cloned().collect();
-    lock(&context.list).take(fewer, context.now());
+    let fewer = lock(&context.instance_list).items.iter().skip(1).cloned().collect();
+    lock(&context.instance_list).replace(fewer, context.now());
     view::refresh(&context);
     let backends = |context: &Context| context.steering().backends.len();
-    let known = context.driver.look(|engine| engine.backends().count());
+    let known = context.driver.with_engine(|engine| engine.backends().count());
     assert_eq!((backends(&context), known), (8, 8), "a server left the list");
 
     let gone = Record { name: "e2".to_owned(), state: Standing::Left, ..lock(&context.roster).own().clone() };
-    lock(&context.roster)
-        .adopt(&Snapshot { records: vec![gone], policy: None, leaving: Vec::new(), copy: false }, context.now());
+    lock(&context.roster).merge_snapshot(
+        &Snapshot { records: vec![gone], policy: None, leaving: Vec::new(), has_mirror: false },
+        context.now(),
+    );
     view::refresh(&context);
     let steering = context.steering();
     let standing = steering.view.entries().iter().find(|entry| entry.name == "e2").map(|entry| entry.standing);
--- a/crates/dispatch/src/engine/answer.rs
+++ b/crates/dispatch/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its one answer, true of all its attempts.
+//! Answers requests: each gets exactly one answer, which is true of all its attempts.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 use base::time::Time;
 
 use super::state::{Request, Timer};
-use super::{Action, Engine, Note, Verdict};
+use super::{Action, Decision, Engine, Verdict};
 
 impl Engine {
     pub(super) fn answer(&mut self, request: u64, verdict: Verdict) {
-        self.actions.push(Action::Answer { request, verdict, after: None });
+        self.actions.push(Action::Answer { request, verdict, retry_after: None });
     }
 
-    /// Answers with an error; its caller should come back `after`, if not after the usual time.
-    pub(super) fn reject(&mut self, request: u64, kind: Kind, after: Option<Duration>) {
-        self.actions.push(Action::Answer { request, verdict: Verdict::Refuse(kind), after });
+    /// Answers with an error. The caller should retry after `retry_after`; `None` for the usual time of `kind`.
+    pub(super) fn answer_error(&mut self, request: u64, kind: Kind, retry_after: Option<Duration>) {
+        self.actions.push(Action::Answer { request, verdict: Verdict::Refuse(kind), retry_after });
     }
 
-    /// Takes a request out of all books but its attempts'.
-    pub(super) fn close(&mut self, request: u64) -> Option<Request> {
+    /// Removes a request, its timer and its place in the queue; its attempts stay until they end.
+    pub(super) fn remove_request(&mut self, request: u64) -> Option<Request> {
         let state = self.requests.remove(&request)?;
         self.timers.remove(&(state.deadline, Timer::Deadline(request)));
         if state.queued {
@@ -29,20 +29,20 @@
         Some(state)
     }
 
-    /// Ends a request with an error that is true of all its attempts.
+    /// Ends a request with an error. An error that says "not run" is replaced if an attempt may have run.
     pub(super) fn refuse(&mut self, request: u64, kind: Kind, now: Time) {
-        let Some(state) = self.close(request) else { return };
+        let Some(state) = self.remove_request(request) else { return };
         self.cancel_all(&state.live);
-        let kind = match (state.touched, kind.answer().outcome) {
-            (Some(touched), Outcome::NotRun) => touched,
+        let kind = match (state.may_have_run, kind.answer().outcome) {
+            (Some(unknown), Outcome::NotRun) => unknown,
             _ => kind,
         };
-        let (tries, waited, waiting) = (state.tries, now.since(state.arrived), self.queued());
-        let chances = self.chances(&state, now);
-        self.notes.push(Note::Refused { request, kind, tries, waited, waiting, chances });
+        let (attempts, waited, waiting) = (state.attempts, now.since(state.arrived), self.queued());
+        let candidates = self.candidates(&state, now);
+        self.decisions.push(Decision::Refused { request, kind, attempts, waited, waiting, candidates });
         let pause_end = (kind == Kind::Paused).then(|| self.pause_end(&state)).flatten();
-        let after = self.return_after(kind, state.shed_with_room, pause_end, now);
-        self.reject(request, kind, after);
+        let retry_after = self.retry_after(kind, state.shed_with_free_slot, pause_end, now);
+        self.answer_error(request, kind, retry_after);
     }
 
     pub(super) fn cancel_all(&mut self, attempts: &[u64]) {
--- /dev/null
+++ b/crates/dispatch/src/engine/held.rs
@@ -0,0 +1,142 @@
+//! Held requests: requests about objects that no home server accepts now.
+//!
+//! Load pattern: more requests arrive at once than the home servers can answer in time, as after an outage. A queue at
+//! the servers would make all of them late, and later requests too. So a server gets what it can still answer within
+//! the target. Other requests use free slots, or are held here until a slot is free, at most for the target; then they
+//! are refused, while their callers still have time to retry.
+
+use std::time::Duration;
+
+use base::error::Kind;
+use base::time::Time;
+
+use super::{Engine, Request};
+use crate::backend::{Backend, BackendId};
+
+/// Maximum number of held requests of one service.
+const MAX_HELD: usize = 256;
+/// Earliest time at which a caller refused for lack of capacity should retry.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Time over which callers that were refused together are spread.
+const RETRY_SPREAD: Duration = Duration::from_millis(500);
+/// Fraction of the remaining pause by which the retries of callers refused for it are spread further past its end.
+const PAUSE_SPREAD_RATIO: f64 = 0.5;
+/// The same times for a caller whose request was shed by a server with a free slot: waiting longer does not help.
+const FREE_SLOT_RETRY_DELAY: Duration = Duration::from_millis(10);
+const FREE_SLOT_RETRY_SPREAD: Duration = Duration::from_millis(30);
+
+impl Engine {
+    /// Sends a request about an object to a home that accepts it, or holds it.
+    pub(super) fn place(&mut self, request: u64, now: Time) {
+        if let Some(backend) = self.pick(request, now) {
+            return self.start(request, backend, now);
+        }
+        if self.reinstate_slow(request, now)
+            && let Some(backend) = self.pick(request, now)
+        {
+            return self.start(request, backend, now);
+        }
+        if let Some(kind) = self.unplaceable(request) {
+            return self.refuse(request, kind, now);
+        }
+        let Some(service) = self.requests.get(&request).map(|state| state.service) else {
+            return;
+        };
+        let held = self.held.entry(service).or_default();
+        if held.len() >= MAX_HELD {
+            return self.refuse(request, Kind::QueueFull, now);
+        }
+        held.push(request);
+        self.record_held(request, now);
+        self.schedule_recheck(now);
+    }
+
+    /// Returns the number of held requests.
+    pub(super) fn held(&self) -> usize {
+        self.held.values().map(Vec::len).sum()
+    }
+
+    /// Sends the held requests that a home accepts now, by priority, and refuses those that have waited too long.
+    /// `freed` limits this to requests with that home.
+    pub(super) fn dispatch_held(&mut self, freed: Option<BackendId>, now: Time) {
+        let services: Vec<u16> = self.held.iter().filter(|(_, held)| !held.is_empty()).map(|(id, _)| *id).collect();
+        for service in services {
+            let held = self.held.remove(&service).unwrap_or_default();
+            let affected = |request: &u64| freed.is_none_or(|server| self.waits_for(*request, server));
+            let (mut candidates, mut kept): (Vec<u64>, Vec<u64>) = held.into_iter().partition(affected);
+            candidates.sort_by_key(|request| self.held_order(*request));
+            kept.extend(candidates.into_iter().filter(|request| self.keep_waiting(*request, now)));
+            self.held.entry(service).or_default().extend(kept);
+        }
+    }
+
+    /// Returns whether `server` is a home of a held request, or the request is unknown.
+    fn waits_for(&self, request: u64, server: BackendId) -> bool {
+        self.requests.get(&request).is_none_or(|state| state.homes.contains(&Some(server)))
+    }
+
+    /// Tries to send or refuse a held request; returns whether it stays held.
+    fn keep_waiting(&mut self, request: u64, now: Time) -> bool {
+        if !self.requests.contains_key(&request) {
+            return false;
+        }
+        if let Some(backend) = self.pick(request, now) {
+            self.start(request, backend, now);
+            return false;
+        }
+        if self.wait_exhausted(request, now) {
+            self.refuse(request, Kind::WontFinish, now);
+            return false;
+        }
+        if now < self.last_pause_end && self.unplaceable(request) == Some(Kind::Paused) {
+            self.refuse(request, Kind::Paused, now);
+            return false;
+        }
+        true
+    }
+
+    fn held_order(&self, request: u64) -> (u8, Time) {
+        let state = self.requests.get(&request);
+        state.map_or((u8::MAX, Time::MAX), |state| (self.classes[state.class].spec.rank, state.arrived))
+    }
+
+    /// Returns whether a request has waited for its whole target, or can no longer be answered before its deadline.
+    fn wait_exhausted(&self, request: u64, now: Time) -> bool {
+        let Some(state) = self.requests.get(&request) else {
+            return true;
+        };
+        let class = &self.classes[state.class];
+        now.since(state.arrived) >= class.spec.target || now + class.work.warm() > state.deadline
+    }
+
+    /// Returns the earliest time at which one of the servers that may run the work of `state` accepts work again.
+    pub(super) fn pause_end(&self, state: &Request) -> Option<Time> {
+        let spec = &self.classes[state.class].spec;
+        let servers = self.tiers.get(usize::from(state.service)).into_iter().flatten().flatten();
+        let serving = servers.filter_map(|id| self.backends.get(id)).filter(|server| !server.leaving());
+        serving.filter(|server| spec.allows(server.spec.region)).map(Backend::available_at).min()
+    }
+
+    /// Returns when a caller refused for `kind` should retry; `None` for the usual time of the kind. `free_slot` says
+    /// whether the server that shed the request had a free slot, `pause_end` when a server accepts its work again.
+    pub(super) fn retry_after(
+        &mut self,
+        kind: Kind,
+        free_slot: bool,
+        pause_end: Option<Time>,
+        now: Time,
+    ) -> Option<Duration> {
+        match kind {
+            Kind::Paused => {
+                let left = pause_end.unwrap_or(now).since(now);
+                let spread = RETRY_SPREAD + left.mul_f64(PAUSE_SPREAD_RATIO);
+                Some(left + spread.mul_f64(self.rng.f64()))
+            }
+            Kind::Shed if free_slot => Some(FREE_SLOT_RETRY_DELAY + FREE_SLOT_RETRY_SPREAD.mul_f64(self.rng.f64())),
+            Kind::QueueFull | Kind::WontFinish | Kind::Shed | Kind::Expired => {
+                Some(RETRY_DELAY + RETRY_SPREAD.mul_f64(self.rng.f64()))
+            }
+            _ => None,
+        }
+    }
+}
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,15 @@
-//! How daemons know each other and the policy in force, without a coordinator.
+//! Membership of the daemons and distribution of the policy by gossip, without a coordinator.
 //!
-//! All of it is pure: the daemon carries the messages.
+//! This crate does no I/O: the daemon sends and receives the messages.
 
-pub mod copy;
 pub mod gossip;
 pub mod load;
 pub mod message;
+pub mod replica;
 pub mod roster;
 pub mod source;
 pub mod target;
 
-pub use copy::Copy;
 pub use message::{Message, Record};
+pub use replica::Document;
 pub use roster::Roster;
