--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -26,9 +26,9 @@
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time for which data sent to a backend server may stay unacknowledged before the connection is dropped.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(700);
-/// Maximum idle time of a pooled connection that is used for an order. After a longer time the connection may be dead
-/// without a sign of it, so an order gets a new one.
-const ORDER_MAX_IDLE: Duration = Duration::from_secs(1);
+/// Maximum idle time of a pooled connection that is used for a non-idempotent request. After a longer time the
+/// connection may be dead without a sign of it, so such a request gets a new one.
+const NON_IDEMPOTENT_MAX_IDLE: Duration = Duration::from_secs(1);
 
 /// An attempt that the dispatch engine decided on.
 #[derive(Debug, Clone, Copy)]
@@ -122,8 +122,8 @@
     }
 }
 
-/// Ensures that this daemon holds the claim of an order before the order is sent. The calls to the store run on a
-/// blocking thread.
+/// Ensures that this daemon holds the claim of a keyed request before the request is sent. The calls to the store run
+/// on a blocking thread.
 async fn claim(context: &Arc<Context>, outgoing: &Arc<Outgoing>, deadline: Time) -> Result<(), Kind> {
     if outgoing.keyed.is_none() {
         return Ok(());
@@ -145,7 +145,7 @@
     address: SocketAddr,
 ) -> std::io::Result<Connection> {
     let now = context.now();
-    let max_idle = if outgoing.idempotent { Duration::MAX } else { ORDER_MAX_IDLE };
+    let max_idle = if outgoing.idempotent { Duration::MAX } else { NON_IDEMPOTENT_MAX_IDLE };
     let needs_new = attempt.retry || needs_own_connection(context, outgoing);
     let pooled = if needs_new { None } else { context.pool.take(attempt.backend, max_idle, now) };
     if let Some(pooled) = pooled {
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -19,7 +19,7 @@
 use crate::dialect::AtMostOnce;
 use crate::driver::{Outcome, Outgoing, Submission};
 
-/// Identifies an order; the same on each retry of it.
+/// Identifies a keyed request; the same on each retry of it.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Identifies the session that a key belongs to; repeated with the key on each retry.
 const IDEMPOTENCY_SESSION: HeaderName = HeaderName::from_static("idempotency-session");
@@ -88,16 +88,16 @@
     idempotent: bool,
 }
 
-/// Dispatches a request of a class. An order with an idempotency key first passes the ledger, which may replay an
-/// earlier answer or refuse the order.
+/// Dispatches a request of a class. A keyed request first passes the ledger, which may replay an earlier answer or
+/// refuse the request.
 async fn dispatch(context: &Arc<Context>, class: ClassMatch, incoming: Incoming, id: &str, now: Time) -> Outcome {
     let ClassMatch { position, idempotent } = class;
     let Incoming { head, body, .. } = incoming;
     let fingerprint = fingerprint(head.method.as_str(), &head.target, &body);
-    let keyed = !idempotent && context.dialect.at_most_once == AtMostOnce::PerKey;
-    let order = if keyed { Some(order(context, &head.headers, fingerprint)?) } else { None };
-    if let Some(order) = &order {
-        match at_most_once::begin(context, order) {
+    let needs_key = !idempotent && context.dialect.at_most_once == AtMostOnce::PerKey;
+    let keyed = if needs_key { Some(keyed_request(context, &head.headers, fingerprint)?) } else { None };
+    if let Some(keyed) = &keyed {
+        match at_most_once::begin(context, keyed) {
             Admission::Claim | Admission::Run => {}
             Admission::Replay(response) => {
                 context.metrics.replays.inc();
@@ -118,10 +118,10 @@
         body,
         caller_deadline: submission.limit.map(|limit| now + limit),
         idempotent,
-        keyed: order,
+        keyed,
     });
     if outgoing.keyed.is_some() {
-        return run_order(context, outgoing, submission).await;
+        return run_keyed(context, outgoing, submission).await;
     }
     let mut guard = AbandonGuard { context: Arc::clone(context), request: Some(outgoing.number) };
     let outcome = context.driver.submit(context, outgoing, submission).await;
@@ -129,15 +129,15 @@
     outcome.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
-/// Runs an order to completion even if its caller disconnects: the answer is kept for a retry.
-async fn run_order(context: &Arc<Context>, outgoing: Arc<Outgoing>, submission: Submission) -> Outcome {
+/// Runs a keyed request to completion even if its caller disconnects: the answer is kept for a retry.
+async fn run_keyed(context: &Arc<Context>, outgoing: Arc<Outgoing>, submission: Submission) -> Outcome {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
         let outcome = shared.driver.submit(&shared, Arc::clone(&outgoing), submission).await;
         let outcome = outcome.unwrap_or_else(|_| Err(Kind::Internal.into()));
-        let Some(order) = &outgoing.keyed else { return outcome };
-        at_most_once::withdraw(&shared, order);
-        at_most_once::finish(&shared, order, outcome)
+        let Some(keyed) = &outgoing.keyed else { return outcome };
+        at_most_once::withdraw(&shared, keyed);
+        at_most_once::finish(&shared, keyed, outcome)
     });
     task.await.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
@@ -178,9 +178,9 @@
     }
 }
 
-/// Reads the idempotency headers of an order. Fails if the key is missing or too long, or belongs to a session of
+/// Reads the headers of a keyed request. Fails if the key is missing or too long, or belongs to a session of
 /// another incarnation.
-fn order(context: &Context, headers: &HeaderMap, fingerprint: u64) -> Result<KeyedRequest, Kind> {
+fn keyed_request(context: &Context, headers: &HeaderMap, fingerprint: u64) -> Result<KeyedRequest, Kind> {
     let key = head::text(headers, &IDEMPOTENCY_KEY).filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     let key = key.ok_or(Kind::KeyMissing)?;
     let session = head::text(headers, &IDEMPOTENCY_SESSION);
--- a/crates/daemon/src/callers/reply.rs
+++ b/crates/daemon/src/callers/reply.rs
@@ -34,7 +34,7 @@
 }
 
 /// The value of `Retry-After`: whole seconds, rounded up, or seconds with three decimals if callers read fractions.
-fn retry_after(time: Duration, fractions: bool) -> HeaderValue {
+fn retry_after_value(time: Duration, fractions: bool) -> HeaderValue {
     if fractions {
         let text = format!("{:.3}", time.as_secs_f64());
         return HeaderValue::from_str(&text).unwrap_or_else(|_| HeaderValue::from_static("1"));
@@ -64,7 +64,7 @@
 
     /// The reply to a request that no backend server answered.
     pub fn refusal(refusal: Refusal, dialect: &Dialect) -> Self {
-        let Refusal { kind, retry_after: after } = refusal;
+        let Refusal { kind, retry_after } = refusal;
         let answer = kind.answer();
         let mut reply =
             Self::json(&ErrorBody { error: kind.as_str(), outcome: answer.outcome.as_str(), advice: kind.advice() });
@@ -74,8 +74,8 @@
             reply.headers.insert(outcome, HeaderValue::from_static(answer.outcome.as_str()));
         }
         let default_after = answer.retry_after_s.map(|seconds| Duration::from_secs(seconds.into()));
-        if let Some(after) = after.or(default_after) {
-            reply.headers.insert(RETRY_AFTER, retry_after(after, dialect.fractional_retry_after));
+        if let Some(after) = retry_after.or(default_after) {
+            reply.headers.insert(RETRY_AFTER, retry_after_value(after, dialect.fractional_retry_after));
         }
         reply
     }
