--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -207,7 +207,7 @@
     fn perform(&self, context: &Arc<Context>, action: Action) {
         match action {
             Action::Start { request, attempt, backend, deadline, retry, basis } => {
-                let sending = attempt::Sending { attempt, backend, deadline, again: retry };
+                let sending = attempt::Attempt { number: attempt, backend, deadline, retry };
                 self.record_start(context, request, sending, basis);
                 self.start(context, request, sending);
             }
@@ -231,14 +231,14 @@
     }
 
     /// Records in logs and metrics where a request is sent and on what basis.
-    fn record_start(&self, context: &Context, request: u64, sending: attempt::Sending, basis: Basis) {
+    fn record_start(&self, context: &Context, request: u64, sending: attempt::Attempt, basis: Basis) {
         let pending =
             lock(&self.pending).get(&request).map(|pending| (Arc::clone(&pending.outgoing), pending.arrived_at));
         let Some((outgoing, arrived_at)) = pending else { return };
         let waited = context.now().since(arrived_at);
-        let again = if sending.again { "yes" } else { "no" };
+        let again = if sending.retry { "yes" } else { "no" };
         context.metrics.sends.with_label_values(&[again, decision_log::warm_label(basis)]).inc();
-        if !sending.again {
+        if !sending.retry {
             context.metrics.wait_time.observe(waited.as_secs_f64());
         }
         decision_log::attempt_sent(context, &outgoing, sending, waited, basis);
@@ -261,16 +261,16 @@
     }
 
     /// Starts an attempt on a task of its own.
-    fn start(&self, context: &Arc<Context>, request: u64, sending: attempt::Sending) {
+    fn start(&self, context: &Arc<Context>, request: u64, sending: attempt::Attempt) {
         let outgoing = lock(&self.pending).get(&request).map(|pending| Arc::clone(&pending.outgoing));
         let Some(outgoing) = outgoing else {
-            return self.finish(context, sending.attempt, Ending::Withheld(Kind::Expired), None);
+            return self.finish(context, sending.number, Ending::Withheld(Kind::Expired), None);
         };
         // Keeps the map locked until the attempt is in it, so that an attempt that ends at once finds its entry.
         let mut running = lock(&self.running);
         let started_at = context.now();
         let task = context.runtime.spawn(attempt::run(Arc::clone(context), Arc::clone(&outgoing), sending));
-        running.insert(sending.attempt, Running { outgoing, started_at, task: task.abort_handle() });
+        running.insert(sending.number, Running { outgoing, started_at, task: task.abort_handle() });
     }
 
     /// Records a load report that came with an answer; the engine acts on it once the attempt's end is reported.
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -13,7 +13,7 @@
 use fleet::message::Message;
 
 use crate::Context;
-use crate::backends::leaving;
+use crate::backends::announcement;
 use crate::context::lock;
 
 /// Pushes of losses and leaving servers per second. A request that crashes servers loses a few connections; a network
@@ -70,7 +70,8 @@
 /// known as leaving.
 pub fn spread_leaving(context: &Arc<Context>, servers: &[BackendId]) {
     let now = context.now();
-    let new: Vec<BackendId> = servers.iter().copied().filter(|server| leaving::note(context, *server)).collect();
+    let new: Vec<BackendId> =
+        servers.iter().copied().filter(|server| announcement::record_leaving(context, *server)).collect();
     if new.is_empty() {
         return;
     }
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -110,7 +110,7 @@
     let specs = (state.versions != Some(versions)).then(|| rebuild(context, active, &list.items, state));
     state.versions = Some(versions);
     let steering = shift_callers(context, active, now);
-    context.pool.keep(|backend| steering.backends.contains_key(&backend), now);
+    context.pool.retain(|backend| steering.backends.contains_key(&backend), now);
     let remotes = remotes(context, &state.slots, active, now);
     let budgets = budgets(context, lock(&context.roster).live_members().count() + 1);
     context.driver.with_engine_mut(context, |engine| {
