--- a/crates/config/src/configs/dispatch.rs
+++ b/crates/config/src/configs/dispatch.rs
@@ -24,17 +24,21 @@
     /// Whole answers kept for re-sends, in bytes over all keys.
     pub kept_answers_bytes: u64,
     /// Part of a retry that each request earns, whatever its service.
-    pub retry_part: f64,
+    #[serde(rename = "retry_part")]
+    pub retry_ratio: f64,
     /// Part of a second send that each request for a service earns, over all daemons.
-    pub repeat_part: f64,
+    #[serde(rename = "repeat_part")]
+    pub repeat_ratio: f64,
     /// Second sends for one service that may be saved up, over all daemons.
-    pub repeats_saved: f64,
+    #[serde(rename = "repeats_saved")]
+    pub repeat_burst: f64,
     /// Daemons that send work to a backend server which starts slowly.
     pub starters: u64,
     /// Whether links between regions that the policy does not name may be used without limit.
     pub open_links: bool,
     /// How long a request that crashed two backend servers is refused, in seconds.
-    pub poison_s: u64,
+    #[serde(rename = "poison_s")]
+    pub quarantine_s: u64,
 }
 
 impl Default for Dispatch {
@@ -47,12 +51,12 @@
             max_queued: 512,
             max_in_flight: 128,
             kept_answers_bytes: 8_388_608,
-            retry_part: 0.1,
-            repeat_part: 1.0,
-            repeats_saved: 1_000.0,
+            retry_ratio: 0.1,
+            repeat_ratio: 1.0,
+            repeat_burst: 1_000.0,
             starters: 3,
             open_links: false,
-            poison_s: 600,
+            quarantine_s: 600,
         }
     }
 }
@@ -67,9 +71,9 @@
         check_range(name, "dispatch.max_in_flight", self.max_in_flight, 1, 4_096)?;
         check_range(name, "dispatch.kept_answers_bytes", self.kept_answers_bytes, 0, 1 << 30)?;
         check_range(name, "dispatch.starters", self.starters, 1, 1_024)?;
-        check_part(name, "dispatch.retry_part", self.retry_part, 1.0)?;
-        check_part(name, "dispatch.repeat_part", self.repeat_part, 1.0)?;
-        check_part(name, "dispatch.repeats_saved", self.repeats_saved, 1e6)?;
-        check_range(name, "dispatch.poison_s", self.poison_s, 1, 86_400)
+        check_part(name, "dispatch.retry_part", self.retry_ratio, 1.0)?;
+        check_part(name, "dispatch.repeat_part", self.repeat_ratio, 1.0)?;
+        check_part(name, "dispatch.repeats_saved", self.repeat_burst, 1e6)?;
+        check_range(name, "dispatch.poison_s", self.quarantine_s, 1, 86_400)
     }
 }
--- a/crates/config/src/configs/mod.rs
+++ b/crates/config/src/configs/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Names of the settings that differ from those of `other`.
-    pub fn differing(&self, other: &Self) -> std::result::Result<Vec<String>, toml::ser::Error> {
+    pub fn differing_keys(&self, other: &Self) -> std::result::Result<Vec<String>, toml::ser::Error> {
         let (own, other) = (toml::Table::try_from(self)?, toml::Table::try_from(other)?);
         let names = own.keys().chain(other.keys().filter(|name| !own.contains_key(*name)));
         Ok(names.filter(|name| own.get(*name) != other.get(*name)).cloned().collect())
--- a/crates/config/src/policy/mod.rs
+++ b/crates/config/src/policy/mod.rs
@@ -24,7 +24,7 @@
 use crate::error::{Error, Result};
 
 /// Changes that a policy remembers, so that an operator can tell whether a lost answer took effect.
-pub const CHANGES_KEPT: usize = 64;
+pub const MAX_CHANGES: usize = 64;
 
 /// What the operators declare.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
@@ -86,9 +86,9 @@
     }
 
     /// Records that the change `id` made this policy, and forgets the oldest ones.
-    pub fn record(&mut self, id: &str) {
+    pub fn record_change(&mut self, id: &str) {
         self.changes.push(id.to_owned());
-        let extra = self.changes.len().saturating_sub(CHANGES_KEPT);
+        let extra = self.changes.len().saturating_sub(MAX_CHANGES);
         self.changes.drain(..extra);
     }
 
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -72,7 +72,7 @@
 #[test]
 fn a_policy_survives_its_text() {
     let mut policy = Policy::parse("p", POLICY).expect("the policy is good");
-    policy.record("change");
+    policy.record_change("change");
     let again = Policy::parse("p", &policy.to_text().expect("it has a text")).expect("its text is good");
     assert_eq!(policy, again);
 }
--- a/crates/ctl/src/change.rs
+++ b/crates/ctl/src/change.rs
@@ -79,7 +79,7 @@
 
 /// Writes `policy` over `expected`; `None` if another operator was faster.
 fn write<S: Store>(store: &S, id: &str, mut policy: Policy, expected: u64) -> Result<Option<Done>> {
-    policy.record(id);
+    policy.record_change(id);
     policy.check("policy")?;
     let change = Change::set(key::POLICY, expected, policy.to_text()?.into_bytes());
     match store.commit(std::slice::from_ref(&change)) {
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -136,7 +136,7 @@
         let limits = Limits {
             max_queued: settings.dispatch.max_queued as usize,
             max_in_flight: settings.dispatch.max_in_flight as usize,
-            quarantine: Duration::from_secs(settings.dispatch.poison_s),
+            quarantine: Duration::from_secs(settings.dispatch.quarantine_s),
             budgets: Budgets::DEFAULT,
         };
         let keys = ledger::table::Limits {
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -65,7 +65,7 @@
         Err(error) => return log::warn!("life: reload refused, nothing changed reason={:?}", error.to_string()),
     };
     logs::set(logs::Levels::new(&settings));
-    let mut differing = match context.settings.differing(&settings) {
+    let mut differing = match context.settings.differing_keys(&settings) {
         Ok(differing) => differing,
         Err(error) => return log::warn!("life: reloaded, what differs is unknown reason={:?}", error.to_string()),
     };
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -165,9 +165,9 @@
     let settings = &context.settings.dispatch;
     let daemons = 2.0 * daemons as f64;
     Budgets {
-        retry_ratio: settings.retry_part,
-        repeat_ratio: settings.repeat_part * REPEATS_USED,
-        repeat_burst: settings.repeats_saved / daemons,
+        retry_ratio: settings.retry_ratio,
+        repeat_ratio: settings.repeat_ratio * REPEATS_USED,
+        repeat_burst: settings.repeat_burst / daemons,
         ..Budgets::DEFAULT
     }
 }
--- a/crates/size/src/policies.rs
+++ b/crates/size/src/policies.rs
@@ -35,7 +35,7 @@
     }
     policy.drains =
         (0..drains).map(|drain| Drain { scope: Scope::Instance, name: format!("entry-{drain:05}") }).collect();
-    (0..config::policy::CHANGES_KEPT).for_each(|change| policy.record(&format!("{change:016x}")));
+    (0..config::policy::MAX_CHANGES).for_each(|change| policy.record_change(&format!("{change:016x}")));
     policy
 }
 
