--- a/crates/config/src/policy/class.rs
+++ b/crates/config/src/policy/class.rs
@@ -36,8 +36,8 @@
     #[serde(default)]
     pub may_wait: bool,
     /// Backend servers that one request is sent to at most; zero for the daemon's own limit.
-    #[serde(default)]
-    pub tries: u32,
+    #[serde(default, rename = "tries")]
+    pub max_attempts: u32,
     /// Whether backend servers work faster on an object that they handled lately.
     #[serde(default)]
     pub affinity: bool,
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -80,7 +80,7 @@
             rank: class.rank,
             target: Duration::from_millis(class.target_ms),
             may_wait: class.may_wait,
-            max_attempts: if class.tries == 0 { usual.max_attempts } else { class.tries as usize },
+            max_attempts: if class.max_attempts == 0 { usual.max_attempts } else { class.max_attempts as usize },
             affinity: class.affinity,
             regions: class.regions.iter().filter_map(|name| self.region_position(name)).collect(),
             split: split.map(|(service, weight)| Share { service, weight }).collect(),
