--- a/crates/config/src/configs/callers.rs
+++ b/crates/config/src/configs/callers.rs
@@ -9,31 +9,31 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Callers {
-    /// Where to listen, `IP:PORT`.
+    /// Address to listen on, `IP:PORT`.
     pub address: String,
-    /// Where to answer look-ups besides, `IP:PORT`; empty for nowhere else.
+    /// Additional address that answers look-ups, `IP:PORT`; empty for none.
     pub lookup_address: String,
-    /// Most connections open at once.
+    /// Maximum number of open connections.
     pub max_connections: u32,
-    /// Longest time for a caller to send a request's header, in milliseconds.
+    /// Maximum time for a caller to send a request's header, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest time for a caller to send a request's body, in milliseconds.
+    /// Maximum time for a caller to send a request's body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Longest time a connection without a request is kept, in milliseconds.
+    /// Maximum time that a connection stays open without a request, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// Whether request bodies may come in chunks.
+    /// Whether request bodies in chunked transfer encoding are accepted.
     pub chunked_bodies: bool,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Largest request header, in bytes.
+    /// Maximum size of a request header, in bytes.
     pub max_header_bytes: u64,
-    /// How long callers may keep a look-up's answer, in seconds.
+    /// How long callers may cache a look-up's answer, in seconds.
     pub answer_ttl_s: u64,
-    /// How long callers keep answers in fact, in milliseconds; a planned stop waits this long.
+    /// How long callers really cache answers, in milliseconds; a planned stop waits this long.
     pub answer_kept_ms: u64,
-    /// Longest time from the start of a planned stop to its end, in milliseconds.
+    /// Maximum time from the start of a planned stop to its end, in milliseconds.
     pub stop_ms: u64,
-    /// Entry instances named in a look-up's answer.
+    /// Number of entry instances named in a look-up's answer.
     pub answer_entries: u64,
 }
 
--- a/crates/config/src/configs/dispatch.rs
+++ b/crates/config/src/configs/dispatch.rs
@@ -1,40 +1,40 @@
-//! Settings of sending work to backend servers.
+//! Settings of dispatch to backend servers.
 
 use serde::{Deserialize, Serialize};
 
-use super::{check_part, check_range};
+use super::{check_float, check_range};
 use crate::error::Result;
 
-/// Sending work to backend servers.
+/// Dispatch of requests to backend servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Dispatch {
-    /// Longest time to connect to a backend server, in milliseconds.
+    /// Maximum time to connect to a backend server, in milliseconds.
     pub connect_ms: u64,
     /// Time between two reads of a backend server's load report, in milliseconds.
     pub probe_ms: u64,
-    /// Largest answer of a backend server, in bytes.
+    /// Maximum size of a backend server's answer, in bytes.
     pub max_answer_bytes: u64,
-    /// Answers of backend servers that are being read, in bytes over all of them.
+    /// Memory budget for all answers of backend servers that are being read, in bytes.
     pub answers_bytes: u64,
-    /// Most requests that wait, over all classes.
+    /// Maximum number of waiting requests, over all classes.
     pub max_queued: u64,
-    /// Most requests sent to backend servers at once.
+    /// Maximum number of requests in flight at backend servers.
     pub max_in_flight: u64,
-    /// Whole answers kept for re-sends, in bytes over all keys.
+    /// Memory budget for complete answers kept for requests that callers resend, in bytes over all keys.
     pub kept_answers_bytes: u64,
-    /// Part of a retry that each request earns, whatever its service.
+    /// Fraction of a retry that each request adds to the budget, whatever its service.
     #[serde(rename = "retry_part")]
     pub retry_ratio: f64,
-    /// Part of a second send that each request for a service earns, over all daemons.
+    /// Fraction of a second send that each request for a service adds to the budget, over all daemons.
     #[serde(rename = "repeat_part")]
     pub repeat_ratio: f64,
-    /// Second sends for one service that may be saved up, over all daemons.
+    /// Maximum number of unused second sends that the budget of one service holds, over all daemons.
     #[serde(rename = "repeats_saved")]
     pub repeat_burst: f64,
-    /// Daemons that send work to a backend server which starts slowly.
+    /// Number of daemons that send requests to a backend server in slow start.
     pub starters: u64,
-    /// Whether links between regions that the policy does not name may be used without limit.
+    /// Whether requests may be sent to other regions without limit; the caps of the policy's links are then unused.
     pub open_links: bool,
     /// How long a request that crashed two backend servers is refused, in seconds.
     #[serde(rename = "poison_s")]
@@ -71,9 +71,9 @@
         check_range(name, "dispatch.max_in_flight", self.max_in_flight, 1, 4_096)?;
         check_range(name, "dispatch.kept_answers_bytes", self.kept_answers_bytes, 0, 1 << 30)?;
         check_range(name, "dispatch.starters", self.starters, 1, 1_024)?;
-        check_part(name, "dispatch.retry_part", self.retry_ratio, 1.0)?;
-        check_part(name, "dispatch.repeat_part", self.repeat_ratio, 1.0)?;
-        check_part(name, "dispatch.repeats_saved", self.repeat_burst, 1e6)?;
+        check_float(name, "dispatch.retry_part", self.retry_ratio, 1.0)?;
+        check_float(name, "dispatch.repeat_part", self.repeat_ratio, 1.0)?;
+        check_float(name, "dispatch.repeats_saved", self.repeat_burst, 1e6)?;
         check_range(name, "dispatch.poison_s", self.quarantine_s, 1, 86_400)
     }
 }
--- a/crates/config/src/configs/fleet.rs
+++ b/crates/config/src/configs/fleet.rs
@@ -1,27 +1,28 @@
-//! Settings of the exchange between daemons.
+//! Settings of gossip between daemons.
 
 use serde::{Deserialize, Serialize};
 
 use super::{check_address, check_range};
 use crate::error::Result;
 
-/// Exchange between daemons.
+/// Gossip between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// Where to listen for peers, `IP:PORT`.
+    /// Address to listen on for peers, `IP:PORT`.
     pub address: String,
-    /// Peers to ask first, `IP:PORT` each.
+    /// Peers to contact first, `IP:PORT` each.
     pub seeds: Vec<String>,
-    /// Whether all daemons start now for the first time: they may wait a moment to meet, since nobody serves yet.
+    /// Whether all daemons are starting for the first time. They may then wait a moment for each other, since none is
+    /// serving yet.
     pub first_start: bool,
     /// Time between two exchanges with a peer, in milliseconds.
     pub exchange_ms: u64,
-    /// Longest time to wait for a peer's answer, in milliseconds.
+    /// Maximum time to wait for a peer's answer, in milliseconds.
     pub timeout_ms: u64,
-    /// Time from suspicion to removal, in milliseconds.
+    /// Time after which a suspected member is considered dead, in milliseconds.
     pub suspect_ms: u64,
-    /// Peers told at once of a newer policy.
+    /// Number of peers that a newer policy and other urgent updates are pushed to at once.
     pub fanout: u64,
 }
 
--- a/crates/config/src/configs/list.rs
+++ b/crates/config/src/configs/list.rs
@@ -11,9 +11,9 @@
 pub struct List {
     /// The list's address, `IP:PORT`.
     pub address: String,
-    /// Time between two reads, in milliseconds.
+    /// Time between two polls of the list, in milliseconds.
     pub poll_ms: u64,
-    /// Longest time for one read, in milliseconds.
+    /// Maximum time for one poll, in milliseconds.
     pub timeout_ms: u64,
 }
 
--- a/crates/config/src/configs/mod.rs
+++ b/crates/config/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon, one file for each part.
+//! Settings of a daemon, one module per section of the settings file.
 
 mod callers;
 mod dispatch;
@@ -21,10 +21,10 @@
 pub use self::platform::Platform;
 use crate::error::{Error, Result};
 
-/// Levels of log lines, from the fewest lines to the most.
-const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
-/// Parts of a daemon that log, by the prefix of their lines.
-pub const PARTS: [&str; 14] = [
+/// Log levels, from the least to the most verbose.
+const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
+/// Components of a daemon that log, by the prefix of their lines; `log_parts` accepts these names.
+pub const LOG_COMPONENTS: [&str; 14] = [
     "callers",
     "dispatch",
     "grants",
@@ -51,21 +51,21 @@
     pub domain: String,
     /// The region of this instance.
     pub region: String,
-    /// The region of each failure domain, where the policy leaves that to the settings.
+    /// The region of each failure domain; needed where the source of the policy does not supply it.
     pub domains: BTreeMap<String, String>,
     /// Log level: `error`, `warn`, `info`, `debug` or `trace`.
     pub log: String,
-    /// Log levels of single parts, by the prefix of their lines.
+    /// Log levels of single components, by the prefix of their lines; each takes precedence over `log`.
     pub log_parts: BTreeMap<String, String>,
-    /// Log lines a second at most.
+    /// Maximum number of log lines per second.
     pub log_lines: u32,
-    /// A policy file that serves until the store or a peer gives a newer one; empty for none.
+    /// Path of the policy file that is used until the store or a peer supplies a newer policy; empty for none.
     pub policy: String,
     /// The callers' port.
     pub callers: Callers,
     /// The operators' port.
     pub operators: Operators,
-    /// Exchange between daemons.
+    /// Gossip between daemons.
     pub fleet: Fleet,
     /// The platform's key-value store.
     pub platform: Platform,
@@ -103,14 +103,14 @@
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Parses and checks `text`; `name` stands for it in errors.
+    /// Parses and checks `text`; errors call it `name`.
     pub fn parse(name: &str, text: &str) -> Result<Self> {
         let settings: Self = toml::from_str(text).map_err(|source| Error::parse(name, &source))?;
         settings.check(name)?;
         Ok(settings)
     }
 
-    /// Names of the settings that differ from those of `other`.
+    /// Returns the top-level keys whose values differ from those of `other`.
     pub fn differing_keys(&self, other: &Self) -> std::result::Result<Vec<String>, toml::ser::Error> {
         let (own, other) = (toml::Table::try_from(self)?, toml::Table::try_from(other)?);
         let names = own.keys().chain(other.keys().filter(|name| !own.contains_key(*name)));
@@ -121,10 +121,11 @@
         if !self.log.is_empty() {
             check_level(name, "log", &self.log)?;
         }
-        for (part, level) in &self.log_parts {
-            let key = format!("log_parts.{part}");
-            if !PARTS.contains(&part.as_str()) {
-                return Err(Error::value(name, &key, format!("names no part; the parts are {}", PARTS.join(", "))));
+        for (component, level) in &self.log_parts {
+            let key = format!("log_parts.{component}");
+            if !LOG_COMPONENTS.contains(&component.as_str()) {
+                let advice = format!("does not name a component that logs; use one of {}", LOG_COMPONENTS.join(", "));
+                return Err(Error::value(name, &key, advice));
             }
             check_level(name, &key, level)?;
         }
@@ -132,8 +133,8 @@
     }
 
     fn check(&self, name: &str) -> Result<()> {
-        let places = [("instance", &self.instance), ("domain", &self.domain), ("region", &self.region)];
-        for (key, value) in places {
+        let required = [("instance", &self.instance), ("domain", &self.domain), ("region", &self.region)];
+        for (key, value) in required {
             if value.is_empty() {
                 return Err(Error::value(name, key, "must be given; set it to a short unique name"));
             }
@@ -149,34 +150,36 @@
     }
 }
 
-/// Refuses a text that is no log level.
+/// Returns an error unless `level` is a log level.
 fn check_level(name: &str, key: &str, level: &str) -> Result<()> {
-    if LEVELS.contains(&level) {
+    if LOG_LEVELS.contains(&level) {
         return Ok(());
     }
-    Err(Error::value(name, key, format!("is `{level}`; it must be one of {}", LEVELS.join(", "))))
+    Err(Error::value(name, key, format!("is `{level}`; set it to one of {}", LOG_LEVELS.join(", "))))
 }
 
-/// Refuses an address that is not `IP:PORT`.
+/// Returns an error unless `value` is an address of the form `IP:PORT`.
 fn check_address(name: &str, key: &str, value: &str) -> Result<()> {
     match value.parse::<std::net::SocketAddr>() {
         Ok(_) => Ok(()),
-        Err(_) => Err(Error::value(name, key, format!("`{value}` is no IP:PORT; write it like 127.0.0.1:7001"))),
+        Err(_) => {
+            Err(Error::value(name, key, format!("`{value}` is not of the form IP:PORT; write it like 127.0.0.1:7001")))
+        }
     }
 }
 
-/// Refuses a number that is not from zero to `high`.
-fn check_part(name: &str, key: &str, value: f64, high: f64) -> Result<()> {
+/// Returns an error unless `value` is from zero to `high`.
+fn check_float(name: &str, key: &str, value: f64, high: f64) -> Result<()> {
     if (0.0..=high).contains(&value) {
         return Ok(());
     }
-    Err(Error::value(name, key, format!("is {value}; set it from 0 to {high}")))
+    Err(Error::value(name, key, format!("is {value}; set it to a number from 0 to {high}")))
 }
 
-/// Refuses a number outside `low..=high`.
+/// Returns an error unless `value` is in `low..=high`.
 fn check_range(name: &str, key: &str, value: u64, low: u64, high: u64) -> Result<()> {
     if (low..=high).contains(&value) {
         return Ok(());
     }
-    Err(Error::value(name, key, format!("is {value}; set it from {low} to {high}")))
+    Err(Error::value(name, key, format!("is {value}; set it to a number from {low} to {high}")))
 }
--- a/crates/config/src/configs/operators.rs
+++ b/crates/config/src/configs/operators.rs
@@ -9,9 +9,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operators {
-    /// Where to listen, `IP:PORT`.
+    /// Address to listen on, `IP:PORT`.
     pub address: String,
-    /// Where else to serve the metrics, `IP:PORT`; empty if nowhere.
+    /// Additional address that serves the metrics, `IP:PORT`; empty for none.
     pub metrics_address: String,
 }
 
--- a/crates/config/src/configs/platform.rs
+++ b/crates/config/src/configs/platform.rs
@@ -9,17 +9,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Platform {
-    /// The store, `IP:PORT`.
+    /// The store's address, `IP:PORT`.
     pub address: String,
-    /// Longest time for one call, in milliseconds.
+    /// Maximum time for one call, in milliseconds.
     pub timeout_ms: u64,
-    /// Time between two reads of the policy by a daemon that reads it, in milliseconds.
+    /// Time between two polls of the policy by a daemon that reads it from the store, in milliseconds.
     pub poll_ms: u64,
-    /// Longest wait of one watch of the store, in milliseconds.
+    /// Maximum time that one watch call waits for changes, in milliseconds.
     pub watch_ms: u64,
-    /// Time between two calls that show whether a watch still hears anything, in milliseconds.
+    /// Time between two calls that check whether a watch still receives changes, in milliseconds.
     pub liveness_ms: u64,
-    /// Daemons in a failure domain that read the policy from the store.
+    /// Number of daemons in a failure domain that read the policy from the store.
     pub readers: u64,
     /// How long the claim of a non-idempotent request is kept, in seconds.
     pub claim_kept_s: u64,
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors of settings and policies.
+//! Errors of reading settings and policies.
 
 use std::path::PathBuf;
 
-/// Why settings or a policy were not taken.
+/// An error of reading settings or a policy.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file could not be read.
@@ -10,10 +10,10 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The text is no valid TOML, or a key is unknown or of the wrong type; the text names line and key.
+    /// The text is not valid TOML, or a key is unknown or of the wrong type; `text` names line and key.
     #[error("{name}: {text}")]
     Parse {
         /// The file's name, or what the text is.
@@ -21,12 +21,12 @@
         /// The parser's message with line, column and key.
         text: String,
     },
-    /// A value is out of its bounds.
+    /// A value is invalid.
     #[error("{name}: key `{key}`: {advice}")]
     Value {
         /// The file's name, or what the text is.
         name: String,
-        /// The key, dotted.
+        /// The dotted path of the key.
         key: String,
         /// What to change.
         advice: String,
@@ -37,7 +37,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// A complaint about one value.
+    /// Creates an error about the value of `key`, with `advice` on what to change.
     pub fn value(name: &str, key: impl Into<String>, advice: impl Into<String>) -> Self {
         Self::Value { name: name.to_owned(), key: key.into(), advice: advice.into() }
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Daemon settings and the operators' policy: parsing, checking and revisions.
+//! Parses and checks the daemons' settings and the operators' policy.
 
 pub mod configs;
 pub mod error;
--- a/crates/config/src/policy/class.rs
+++ b/crates/config/src/policy/class.rs
@@ -17,14 +17,14 @@
     /// Services that share the work, each with its weight.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub split: BTreeMap<String, u32>,
-    /// The host that requests name; empty for any.
+    /// The host that requests must name; empty for any host.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub host: String,
-    /// Path prefixes of the class; whole segments, each starting with `/`.
+    /// Path prefixes of the class; each starts with `/` and covers whole path segments.
     pub paths: Vec<String>,
     /// Whether running the work twice is harmless.
     pub idempotent: bool,
-    /// Rank in the order of loss: work of rank 0 is kept longest.
+    /// Priority when load is shed: requests of rank 0 are dropped last.
     pub rank: u8,
     /// Time within which an answer counts as good, in milliseconds.
     pub target_ms: u64,
@@ -35,47 +35,55 @@
     /// Whether the work may wait behind other work but must finish.
     #[serde(default)]
     pub may_wait: bool,
-    /// Backend servers that one request is sent to at most; zero for the daemon's own limit.
+    /// Maximum number of backend servers that one request is sent to; zero for the daemon's own limit.
     #[serde(default, rename = "tries")]
     pub max_attempts: u32,
-    /// Whether backend servers work faster on an object that they handled lately.
+    /// Whether backend servers work faster on an object that they handled recently.
     #[serde(default)]
     pub affinity: bool,
     /// Regions that may run the work; empty for all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub regions: Vec<String>,
-    /// Whether all requests are refused, because nothing is known of where they may run.
+    /// Whether all requests are refused, because it is unknown where they may run.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub closed: bool,
 }
 
 impl Class {
-    /// The services that run the work.
+    /// Returns the services that run the work.
     pub fn services(&self) -> impl Iterator<Item = &String> {
         std::iter::once(&self.service).filter(|service| !service.is_empty()).chain(self.split.keys())
     }
 
-    /// Whether requests to `host` are of this class; host names are compared without case.
-    pub fn serves(&self, host: &str) -> bool {
+    /// Whether requests to `host` may belong to this class; host names are compared without case.
+    pub fn matches_host(&self, host: &str) -> bool {
         self.host.is_empty() || self.host.eq_ignore_ascii_case(host)
     }
 
-    /// The length of the longest prefix that covers `path`; `None` if none does.
-    pub fn covers(&self, path: &str) -> Option<usize> {
-        let matching = self.paths.iter().filter(|prefix| covers(prefix, path));
+    /// Returns the length of the longest prefix that covers `path`; `None` if none does.
+    pub fn prefix_length(&self, path: &str) -> Option<usize> {
+        let matching = self.paths.iter().filter(|prefix| is_path_prefix(prefix, path));
         matching.map(String::len).max()
     }
 
-    /// Checks all values; `name` stands for the policy and `key` for the class in errors.
+    /// Checks all values; errors name the policy as `name` and the class as `key`.
     pub fn check(&self, name: &str, key: &str) -> Result<()> {
         if !self.closed && self.service.is_empty() == self.split.is_empty() {
-            return Err(Error::value(name, format!("{key}.service"), "must name a service, or `split` several"));
+            return Err(Error::value(
+                name,
+                format!("{key}.service"),
+                "must name a service, unless `split` names several; set one of them",
+            ));
         }
         if !self.split.is_empty() && self.split.values().all(|weight| *weight == 0) {
-            return Err(Error::value(name, format!("{key}.split"), "must give one service a weight above zero"));
+            return Err(Error::value(
+                name,
+                format!("{key}.split"),
+                "must give at least one service a weight above zero",
+            ));
         }
         if self.paths.is_empty() {
-            return Err(Error::value(name, format!("{key}.paths"), "must name one path at least"));
+            return Err(Error::value(name, format!("{key}.paths"), "must name at least one path"));
         }
         if let Some(path) = self.paths.iter().find(|path| !path.starts_with('/')) {
             return Err(Error::value(name, format!("{key}.paths"), format!("`{path}` must start with /")));
@@ -91,7 +99,8 @@
     }
 }
 
-fn covers(prefix: &str, path: &str) -> bool {
+/// Whether `prefix` covers `path` by whole path segments.
+fn is_path_prefix(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
     };
--- a/crates/config/src/policy/drain.rs
+++ b/crates/config/src/policy/drain.rs
@@ -1,4 +1,4 @@
-//! A drain that an operator announced.
+//! Drains that operators declare.
 
 use serde::{Deserialize, Serialize};
 
@@ -22,6 +22,7 @@
 pub struct Drain {
     /// What the drain covers.
     pub scope: Scope,
-    /// The name of what is drained.
+    /// The name of the region, failure domain, entry instance or backend server; for [`Scope::Servers`], of the
+    /// failure domain.
     pub name: String,
 }
--- a/crates/config/src/policy/link.rs
+++ b/crates/config/src/policy/link.rs
@@ -7,27 +7,27 @@
 use super::Region;
 use crate::error::{Error, Result};
 
-/// Bytes a second in one megabit a second.
+/// Bytes per second in one megabit per second.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
 /// A link between two regions, shared by all traffic in each direction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
-    /// The two regions.
+    /// The two regions that the link connects.
     pub between: [String; 2],
-    /// Cap of each direction, in megabits a second.
+    /// Cap of each direction, in megabits per second.
     pub cap_mbit: f64,
 }
 
 impl Link {
-    /// Whether the link joins `from` and `to`, in either order.
-    pub fn joins(&self, from: &str, to: &str) -> bool {
-        let [one, other] = &self.between;
-        (one == from && other == to) || (one == to && other == from)
+    /// Whether the link connects `from` and `to`, in either order.
+    pub fn connects(&self, from: &str, to: &str) -> bool {
+        let [first, second] = &self.between;
+        (first == from && second == to) || (first == to && second == from)
     }
 
-    /// Cap of each direction, in bytes a second.
+    /// Returns the cap of each direction, in bytes per second.
     pub fn bytes_per_second(&self) -> f64 {
         self.cap_mbit * BYTES_PER_MBIT
     }
@@ -37,11 +37,11 @@
             return Err(Error::value(
                 name,
                 format!("{key}.between"),
-                format!("`{end}` is no region; name two regions"),
+                format!("`{end}` is not a region; name two of `regions`"),
             ));
         }
         if self.between[0] == self.between[1] {
-            return Err(Error::value(name, format!("{key}.between"), "names one region twice; name two regions"));
+            return Err(Error::value(name, format!("{key}.between"), "names the same region twice; name two regions"));
         }
         if !(self.cap_mbit > 0.0 && self.cap_mbit.is_finite()) {
             return Err(Error::value(name, format!("{key}.cap_mbit"), "must be above zero"));
--- a/crates/config/src/policy/mod.rs
+++ b/crates/config/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! The operators' policy: regions, links, classes of work, drains and home regions of callers.
 //!
-//! The text of a policy is TOML. Its revision is the store's and travels beside it, never inside.
+//! A policy is stored as TOML. Its revision is assigned by the store and is sent beside the text, never in it.
 
 mod block;
 mod class;
@@ -23,10 +23,11 @@
 pub use self::service::Service;
 use crate::error::{Error, Result};
 
-/// Changes that a policy remembers, so that an operator can tell whether a lost answer took effect.
+/// Maximum number of change ids that a policy keeps. They show an operator whether a change whose answer was lost
+/// took effect.
 pub const MAX_CHANGES: usize = 64;
 
-/// What the operators declare.
+/// The settings of the whole fleet that operators declare.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
@@ -38,7 +39,7 @@
     pub links: Vec<Link>,
     /// Classes of work by name.
     pub classes: BTreeMap<String, Class>,
-    /// What is declared of services, by name; a service that is not named has the usual values.
+    /// Properties of services by name; a service that is absent has the defaults.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub services: BTreeMap<String, Service>,
     /// Drains in force.
@@ -54,22 +55,22 @@
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Parses and checks `text`; `name` stands for it in errors.
+    /// Parses and checks `text`; errors call it `name`.
     pub fn parse(name: &str, text: &str) -> Result<Self> {
         let policy: Self = toml::from_str(text).map_err(|source| Error::parse(name, &source))?;
         policy.check(name)?;
         Ok(policy)
     }
 
-    /// The policy as TOML.
+    /// Returns the policy as TOML.
     pub fn to_text(&self) -> Result<String> {
         toml::to_string(self).map_err(|source| Error::Parse { name: "policy".to_owned(), text: source.to_string() })
     }
 
-    /// Checks all values and references.
+    /// Checks all values and references; errors name the policy as `name`.
     pub fn check(&self, name: &str) -> Result<()> {
         if self.regions.is_empty() {
-            return Err(Error::value(name, "regions", "must name one region at least"));
+            return Err(Error::value(name, "regions", "must name at least one region"));
         }
         self.check_domains(name)?;
         for (index, link) in self.links.iter().enumerate() {
@@ -82,60 +83,62 @@
         for (index, block) in self.blocks.iter().enumerate() {
             block.check(name, &format!("blocks[{index}]"), &self.regions)?;
         }
-        self.check_left(name)
+        self.check_remaining_domains(name)
     }
 
-    /// Records that the change `id` made this policy, and forgets the oldest ones.
+    /// Appends the change `id` to `changes` and drops the oldest ones beyond [`MAX_CHANGES`].
     pub fn record_change(&mut self, id: &str) {
         self.changes.push(id.to_owned());
-        let extra = self.changes.len().saturating_sub(MAX_CHANGES);
-        self.changes.drain(..extra);
+        let excess = self.changes.len().saturating_sub(MAX_CHANGES);
+        self.changes.drain(..excess);
     }
 
     /// Whether `region` is drained.
     pub fn region_drained(&self, region: &str) -> bool {
-        self.drained(Scope::Region, region)
+        self.has_drain(Scope::Region, region)
     }
 
     /// Whether `domain` or its region is drained.
     pub fn domain_drained(&self, domain: &str) -> bool {
         let parent = self.region_of(domain);
-        self.drained(Scope::Domain, domain) || parent.is_some_and(|region| self.region_drained(region))
+        self.has_drain(Scope::Domain, domain) || parent.is_some_and(|region| self.region_drained(region))
     }
 
-    /// Whether `instance` alone is drained.
+    /// Whether `instance` itself is drained; drains of its failure domain and region do not count.
     pub fn instance_drained(&self, instance: &str) -> bool {
-        self.drained(Scope::Instance, instance)
+        self.has_drain(Scope::Instance, instance)
     }
 
-    /// The region of a failure domain.
+    /// Returns the region of a failure domain; `None` if no region has it.
     pub fn region_of(&self, domain: &str) -> Option<&str> {
         let mut regions = self.regions.iter();
         let found = regions.find(|(_, region)| region.domains.iter().any(|name| name == domain));
         found.map(|(name, _)| name.as_str())
     }
 
-    /// The cap of the link from region `from` to region `to`, in bytes a second; `None` without a link.
+    /// Returns the cap of the link from region `from` to region `to`, in bytes per second; `None` without a link.
     pub fn link_cap(&self, from: &str, to: &str) -> Option<f64> {
-        let link = self.links.iter().find(|link| link.joins(from, to))?;
+        let link = self.links.iter().find(|link| link.connects(from, to))?;
         Some(link.bytes_per_second())
     }
 
-    /// The class for `host` whose longest path prefix covers `path`; a class of that very host goes first.
+    /// Returns the class with the longest path prefix that covers `path`, and its name. Classes that name `host` take
+    /// precedence over those of any host.
     pub fn class_of(&self, host: &str, path: &str) -> Option<(&str, &Class)> {
-        let covers = self.classes.iter().filter(|(_, class)| class.serves(host)).filter_map(|(name, class)| {
-            let length = class.covers(path)?;
-            Some(((!class.host.is_empty(), length), name.as_str(), class))
-        });
-        covers.max_by_key(|(order, _, _)| *order).map(|(_, name, class)| (name, class))
+        let candidates =
+            self.classes.iter().filter(|(_, class)| class.matches_host(host)).filter_map(|(name, class)| {
+                let length = class.prefix_length(path)?;
+                Some(((!class.host.is_empty(), length), name.as_str(), class))
+            });
+        candidates.max_by_key(|(precedence, _, _)| *precedence).map(|(_, name, class)| (name, class))
     }
 
-    /// Whether the backend servers of `domain` are drained, alone or with all else there.
+    /// Whether the backend servers of `domain` are drained, by themselves or with the whole failure domain.
     pub fn servers_drained(&self, domain: &str) -> bool {
-        self.drained(Scope::Servers, domain) || self.domain_drained(domain)
+        self.has_drain(Scope::Servers, domain) || self.domain_drained(domain)
     }
 
-    fn drained(&self, scope: Scope, name: &str) -> bool {
+    fn has_drain(&self, scope: Scope, name: &str) -> bool {
         self.drains.iter().any(|drain| drain.scope == scope && drain.name == name)
     }
 
@@ -144,11 +147,15 @@
         for (region, value) in &self.regions {
             let key = format!("regions.{region}.domains");
             if value.domains.is_empty() {
-                return Err(Error::value(name, key, "must name one failure domain at least"));
+                return Err(Error::value(name, key, "must name at least one failure domain"));
             }
             for domain in &value.domains {
                 if !seen.insert(domain) {
-                    return Err(Error::value(name, key, format!("`{domain}` is named twice; name each once")));
+                    return Err(Error::value(
+                        name,
+                        key,
+                        format!("`{domain}` is named twice; name each failure domain once"),
+                    ));
                 }
             }
         }
@@ -157,7 +164,7 @@
 
     fn check_classes(&self, name: &str) -> Result<()> {
         if self.classes.is_empty() {
-            return Err(Error::value(name, "classes", "must name one class of work at least"));
+            return Err(Error::value(name, "classes", "must name at least one class of work"));
         }
         let mut paths = BTreeSet::new();
         for (class, value) in &self.classes {
@@ -165,12 +172,12 @@
             let unknown = value.regions.iter().find(|region| !self.regions.contains_key(*region));
             if let Some(region) = unknown {
                 let key = format!("classes.{class}.regions");
-                return Err(Error::value(name, key, format!("`{region}` is no region; name one of `regions`")));
+                return Err(Error::value(name, key, format!("`{region}` is not a region; name one of `regions`")));
             }
             for path in &value.paths {
                 if !paths.insert((&value.host, path)) {
                     let key = format!("classes.{class}.paths");
-                    return Err(Error::value(name, key, format!("`{path}` belongs to two classes; keep one")));
+                    return Err(Error::value(name, key, format!("`{path}` belongs to two classes; keep it in one")));
                 }
             }
         }
@@ -190,7 +197,7 @@
         Err(Error::value(name, format!("{key}.name"), advice))
     }
 
-    fn check_left(&self, name: &str) -> Result<()> {
+    fn check_remaining_domains(&self, name: &str) -> Result<()> {
         let mut domains = self.regions.values().flat_map(|region| &region.domains);
         if domains.any(|domain| !self.domain_drained(domain)) {
             return Ok(());
--- a/crates/config/src/policy/service.rs
+++ b/crates/config/src/policy/service.rs
@@ -1,4 +1,4 @@
-//! What is declared of a service.
+//! Declared properties of a service.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,11 +6,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct Service {
-    /// Requests a second that a backend server of it bears while it starts, over all entry instances; zero for
-    /// no limit.
+    /// Maximum requests per second to a backend server of the service in slow start, over all entry instances; zero
+    /// for no limit.
     pub start_per_second: f64,
-    /// How long a backend server that has just started stays slow, in milliseconds.
+    /// How long a backend server stays slow after its start, in milliseconds.
     pub start_ms: u64,
-    /// Path of its backend servers' health answers; empty for none.
+    /// Path of the health check of its backend servers; empty for none.
     pub health_path: String,
 }
