--- a/crates/ctl/src/change.rs
+++ b/crates/ctl/src/change.rs
@@ -1,36 +1,36 @@
-//! Changing the policy in the store: acknowledged only with its revision.
+//! Changes of the policy in the store. A change is acknowledged only with the revision that contains it.
 
 use config::policy::Policy;
 use store::{Change, Commit, Entry, Store, key};
 
 use crate::error::{Error, Result};
 
-/// Times a change is made anew on top of another operator's.
-const REBASES: u32 = 8;
-/// Times a lost answer is read back before the outcome is called unknown.
-const READ_BACKS: u32 = 4;
+/// Maximum number of attempts to apply an edit when other operators change the policy at the same time.
+const MAX_EDIT_ATTEMPTS: u32 = 8;
+/// Maximum number of attempts to read back a change whose answer was lost, before its outcome counts as unknown.
+const MAX_READ_BACKS: u32 = 4;
 
-/// What a change came to.
+/// The result of a change that is in effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Done {
-    /// The policy became this revision.
-    Revision(u64),
-    /// The change took effect, and others changed the policy since; it is now at this revision.
-    Before(u64),
-    /// The policy said so already, at this revision.
-    Already(u64),
+pub enum Outcome {
+    /// The change became this revision.
+    Applied(u64),
+    /// The change took effect and the policy was changed again since; it is now at this revision.
+    Superseded(u64),
+    /// The policy at this revision is already as the change would make it; nothing was written.
+    Unchanged(u64),
 }
 
-impl Done {
-    /// The newest revision known to contain the change.
+impl Outcome {
+    /// Returns the newest revision known to contain the change.
     pub const fn revision(&self) -> u64 {
         match self {
-            Self::Revision(revision) | Self::Before(revision) | Self::Already(revision) => *revision,
+            Self::Applied(revision) | Self::Superseded(revision) | Self::Unchanged(revision) => *revision,
         }
     }
 }
 
-/// The policy in the store with its revision; revision zero and an empty policy if there is none.
+/// Reads the policy and its revision from the store; an empty policy with revision zero if there is none.
 pub fn read<S: Store>(store: &S) -> Result<(Policy, u64)> {
     match store.read(key::POLICY) {
         Ok(None) => Ok((Policy::default(), 0)),
@@ -39,72 +39,73 @@
     }
 }
 
-/// Edits the policy in the store as the change `id`; edits again if another operator was faster.
-pub fn edit<S, F>(store: &S, id: &str, edit: F) -> Result<Done>
+/// Applies `edit` to the policy in the store as the change `id`. If another operator changes the policy meanwhile,
+/// reads it and applies `edit` again.
+pub fn edit<S, F>(store: &S, id: &str, edit: F) -> Result<Outcome>
 where
     S: Store,
     F: Fn(&mut Policy) -> Result<()>,
 {
-    let mut found = 0;
-    for _ in 0..REBASES {
+    let mut expected = 0;
+    for _ in 0..MAX_EDIT_ATTEMPTS {
         let (mut policy, revision) = read(store)?;
         if policy.changes.iter().any(|change| change == id) {
-            return Ok(Done::Before(revision));
+            return Ok(Outcome::Superseded(revision));
         }
         let before = policy.clone();
         edit(&mut policy)?;
         if policy == before {
-            return Ok(Done::Already(revision));
+            return Ok(Outcome::Unchanged(revision));
         }
         match write(store, id, policy, revision)? {
-            Some(done) => return Ok(done),
-            None => found = revision,
+            Some(outcome) => return Ok(outcome),
+            None => expected = revision,
         }
     }
-    Err(Error::Conflict { expected: found, found: read(store)?.1 })
+    Err(Error::Conflict { expected, found: read(store)?.1 })
 }
 
-/// Replaces the policy if it is at `expected`, as the change `id`.
-pub fn replace<S: Store>(store: &S, id: &str, mut policy: Policy, expected: u64) -> Result<Done> {
-    let (before, found) = read(store)?;
+/// Replaces the policy as the change `id`, if it is at revision `expected`.
+pub fn replace<S: Store>(store: &S, id: &str, mut policy: Policy, expected: u64) -> Result<Outcome> {
+    let (current, found) = read(store)?;
     if found != expected {
         return Err(Error::Conflict { expected, found });
     }
-    policy.changes = before.changes;
+    policy.changes = current.changes;
     match write(store, id, policy, expected)? {
-        Some(done) => Ok(done),
+        Some(outcome) => Ok(outcome),
         None => Err(Error::Conflict { expected, found: read(store)?.1 }),
     }
 }
 
-/// Writes `policy` over `expected`; `None` if another operator was faster.
-fn write<S: Store>(store: &S, id: &str, mut policy: Policy, expected: u64) -> Result<Option<Done>> {
+/// Writes `policy` if the store is at revision `expected`; `None` if another operator changed the policy first.
+fn write<S: Store>(store: &S, id: &str, mut policy: Policy, expected: u64) -> Result<Option<Outcome>> {
     policy.record_change(id);
     policy.check("policy")?;
     let change = Change::set(key::POLICY, expected, policy.to_text()?.into_bytes());
     match store.commit(std::slice::from_ref(&change)) {
-        Ok(Commit::Done(revision)) => Ok(Some(Done::Revision(revision))),
+        Ok(Commit::Done(revision)) => Ok(Some(Outcome::Applied(revision))),
         Ok(Commit::Conflict) => Ok(None),
         Err(store::Error::Ambiguous(reason)) => read_back(store, id, &change, reason),
         Err(error) => Err(Error::Failed(error.to_string())),
     }
 }
 
-/// Finds out what became of a write whose answer was lost.
+/// Determines the outcome of a write whose answer was lost.
 ///
-/// While the policy is still at the old revision the write may yet arrive, so it is made again: the two can
-/// only take effect once, and both carry the same id.
-fn read_back<S: Store>(store: &S, id: &str, change: &Change, mut reason: String) -> Result<Option<Done>> {
-    for _ in 0..READ_BACKS {
+/// While the policy is still at the old revision, the write may arrive later, so it is repeated. Only one of the two
+/// can take effect, since both expect the same revision; both carry the same id.
+fn read_back<S: Store>(store: &S, id: &str, change: &Change, mut reason: String) -> Result<Option<Outcome>> {
+    for _ in 0..MAX_READ_BACKS {
         match store.read(key::POLICY) {
             Ok(entry) => {
                 let revision = entry.as_ref().map_or(0, |entry| entry.revision);
                 let changes = entry.as_ref().map(parse).transpose()?.unwrap_or_default().changes;
                 if changes.last().is_some_and(|last| last == id) {
-                    return Ok(Some(Done::Revision(revision)));
+                    return Ok(Some(Outcome::Applied(revision)));
                 }
                 if changes.iter().any(|change| change == id) {
-                    return Ok(Some(Done::Before(revision)));
+                    return Ok(Some(Outcome::Superseded(revision)));
                 }
                 if revision != change.expect {
                     return Ok(None);
@@ -116,7 +117,7 @@
             }
         }
         match store.commit(std::slice::from_ref(change)) {
-            Ok(Commit::Done(revision)) => return Ok(Some(Done::Revision(revision))),
+            Ok(Commit::Done(revision)) => return Ok(Some(Outcome::Applied(revision))),
             Ok(Commit::Conflict) => {}
             Err(error) => reason = error.to_string(),
         }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 
 use crate::error::{Error, Result};
 
-/// What `--help` shows.
+/// The text of `--help`.
 pub const USAGE: &str = "\
 hemlockctl [OPTIONS] VERB
 
@@ -35,7 +35,7 @@
 Exit codes: 0 done, 1 failed, 2 wrong input, 3 another operator was faster, 4 outcome unknown.
 ";
 
-/// What to do.
+/// What to do, with the arguments.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verb {
     /// Show the usage.
@@ -46,21 +46,21 @@
     Show,
     /// Print the policy.
     Policy,
-    /// Show the burn; as a page if a file is named.
+    /// Show the burn; also write it as a page if a file is given.
     Report(Option<PathBuf>),
-    /// Show the way of a request, from log files.
+    /// Trace a request through log files.
     Explain(String, Vec<PathBuf>),
-    /// Check a file.
+    /// Check a policy file or a settings file.
     Check(PathBuf),
-    /// Replace the policy.
+    /// Replace the policy, if it is at the given revision.
     Apply(PathBuf, Option<u64>),
     /// Set a target of a class.
     SetTarget(String, String, String),
-    /// Announce a drain.
+    /// Start a drain.
     Drain(Scope, String),
     /// End a drain.
     Undrain(Scope, String),
-    /// Find out what became of a change.
+    /// Determine whether a change took effect.
     Settle(String),
 }
 
@@ -78,14 +78,14 @@
 }
 
 #[derive(Default)]
-struct Words {
-    plain: Vec<String>,
+struct Arguments {
+    positional: Vec<String>,
     html: Option<PathBuf>,
     expect: Option<u64>,
 }
 
 impl Command {
-    /// Parses `arguments`, without the program's name.
+    /// Parses `arguments`, which do not include the program's name.
     pub fn parse<I>(arguments: I) -> Result<Self>
     where
         I: IntoIterator<Item = String>,
@@ -97,7 +97,7 @@
             list: "127.0.0.1:7901".to_owned(),
             json: false,
         };
-        let mut given = Words::default();
+        let mut given = Arguments::default();
         let usage = |error: lexopt::Error| Error::Usage(error.to_string());
         while let Some(argument) = parser.next().map_err(usage)? {
             match argument {
@@ -106,30 +106,30 @@
                     return Ok(Self { verb: Verb::Version, ..command });
                 }
                 Long("json") => command.json = true,
-                Long("store") => command.store = text(&mut parser)?,
-                Long("list") => command.list = text(&mut parser)?,
-                Long("html") => given.html = Some(PathBuf::from(text(&mut parser)?)),
-                Long("expect") => given.expect = Some(number("--expect", &text(&mut parser)?)?),
-                Value(word) => given.plain.push(word.string().map_err(usage)?),
+                Long("store") => command.store = option_value(&mut parser)?,
+                Long("list") => command.list = option_value(&mut parser)?,
+                Long("html") => given.html = Some(PathBuf::from(option_value(&mut parser)?)),
+                Long("expect") => given.expect = Some(parse_number("--expect", &option_value(&mut parser)?)?),
+                Value(word) => given.positional.push(word.string().map_err(usage)?),
                 other => return Err(usage(other.unexpected())),
             }
         }
-        command.verb = verb(given)?;
+        command.verb = parse_verb(given)?;
         Ok(command)
     }
 }
 
-fn text(parser: &mut lexopt::Parser) -> Result<String> {
+fn option_value(parser: &mut lexopt::Parser) -> Result<String> {
     let value = parser.value().and_then(lexopt::ValueExt::string);
     value.map_err(|error| Error::Usage(error.to_string()))
 }
 
-fn number(name: &str, text: &str) -> Result<u64> {
-    text.parse().map_err(|_source| Error::Usage(format!("{name}: `{text}` is no whole number")))
+fn parse_number(option: &str, text: &str) -> Result<u64> {
+    text.parse().map_err(|_source| Error::Usage(format!("{option}: `{text}` is not a whole number")))
 }
 
-fn verb(given: Words) -> Result<Verb> {
-    let words: Vec<&str> = given.plain.iter().map(String::as_str).collect();
+fn parse_verb(given: Arguments) -> Result<Verb> {
+    let words: Vec<&str> = given.positional.iter().map(String::as_str).collect();
     Ok(match words.as_slice() {
         ["show"] => Verb::Show,
         ["policy"] => Verb::Policy,
@@ -142,19 +142,19 @@
         ["set-target", class, key, value] => {
             Verb::SetTarget((*class).to_owned(), (*key).to_owned(), (*value).to_owned())
         }
-        ["drain", scope, name] => Verb::Drain(self::scope(scope)?, (*name).to_owned()),
-        ["undrain", scope, name] => Verb::Undrain(self::scope(scope)?, (*name).to_owned()),
+        ["drain", scope, name] => Verb::Drain(parse_scope(scope)?, (*name).to_owned()),
+        ["undrain", scope, name] => Verb::Undrain(parse_scope(scope)?, (*name).to_owned()),
         ["settle", id] => Verb::Settle((*id).to_owned()),
-        [] => return Err(Error::Usage("name a verb".to_owned())),
-        [first, ..] => return Err(Error::Usage(format!("`{first}` with these words is no verb"))),
+        [] => return Err(Error::Usage("the verb is missing".to_owned())),
+        [first, ..] => return Err(Error::Usage(format!("`{first}` is not a verb, or its arguments are wrong"))),
     })
 }
 
-fn scope(text: &str) -> Result<Scope> {
+fn parse_scope(text: &str) -> Result<Scope> {
     match text {
         "region" => Ok(Scope::Region),
         "domain" => Ok(Scope::Domain),
         "instance" => Ok(Scope::Instance),
-        other => Err(Error::Usage(format!("`{other}` is no scope; use region, domain or instance"))),
+        other => Err(Error::Usage(format!("`{other}` is not a scope; use region, domain or instance"))),
     }
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,6 +1,6 @@
-//! Errors of the command line, with exit codes.
+//! Errors of `hemlockctl` and their exit codes.
 
-/// Why a command did not do what it was asked.
+/// An error of a command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The command line is wrong.
@@ -19,7 +19,7 @@
     Conflict {
         /// Revision that the change was made from.
         expected: u64,
-        /// Revision found.
+        /// Revision that the policy is at.
         found: u64,
     },
     /// The change may or may not have taken effect.
@@ -38,7 +38,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     pub const fn exit_code(&self) -> u8 {
         match self {
             Self::Failed(_) => 1,
--- a/crates/ctl/src/logs.rs
+++ b/crates/ctl/src/logs.rs
@@ -1,23 +1,23 @@
-//! Reading the daemons' log lines.
+//! Parses the daemons' log lines and selects those about one request.
 
 use std::collections::BTreeSet;
 
-/// Time before a request's first line from which other lines may explain it, in milliseconds.
-const BEFORE_MS: u64 = 5_000;
+/// Time before a request's first line from which other lines are part of its trace, in milliseconds.
+const CONTEXT_MS: u64 = 5_000;
 
 /// A line of a daemon's log.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Line {
-    /// Milliseconds of the calendar.
+    /// Time of the line, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// The daemon that wrote it.
     pub instance: String,
-    /// Level, part, sentence and fields.
+    /// Level, component, sentence and fields.
     pub text: String,
 }
 
 impl Line {
-    /// The line in `text`, whatever a collector of logs has put before it; `None` if it is none of a daemon's.
+    /// Parses a line, whatever a log collector has put before it; `None` if it is not from a daemon.
     pub fn parse(text: &str) -> Option<Self> {
         let (head, rest) = text.split_once(" instance=")?;
         let (instance, rest) = rest.split_once(' ')?;
@@ -28,13 +28,13 @@
         Some(Self { at_ms, instance: instance.to_owned(), text: format!("{level} {}", rest.trim_end()) })
     }
 
-    /// The value of a field, without quotes.
+    /// Returns the value of a field, without quotes; `None` if the line does not have it.
     pub fn field(&self, name: &str) -> Option<&str> {
         let mut rest = self.text.as_str();
         while let Some(at) = rest.find(name) {
-            let starts = rest[..at].ends_with(' ');
+            let at_start = rest[..at].ends_with(' ');
             rest = &rest[at + name.len()..];
-            if let (true, Some(value)) = (starts, rest.strip_prefix('=')) {
+            if let (true, Some(value)) = (at_start, rest.strip_prefix('=')) {
                 let quoted = value.strip_prefix('"').and_then(|value| value.split('"').next());
                 return quoted.or_else(|| value.split(' ').next());
             }
@@ -42,53 +42,52 @@
         None
     }
 
-    /// The part that wrote it: the word before the first colon.
-    pub fn part(&self) -> &str {
+    /// Returns the component that wrote the line: the word before the first colon.
+    pub fn component(&self) -> &str {
         let sentence = self.text.split_once(' ').map_or("", |(_, sentence)| sentence);
         sentence.split(':').next().unwrap_or_default()
     }
 
-    /// Servers that it names.
+    /// Returns the backend servers that the line names.
     fn servers(&self) -> impl Iterator<Item = &str> {
-        let considered = ["server", "near", "far"].into_iter().filter_map(|name| self.field(name));
-        considered.filter_map(|value| value.split('/').next()).filter(|name| *name != "-")
+        let values = ["server", "near", "far"].into_iter().filter_map(|name| self.field(name));
+        values.filter_map(|value| value.split('/').next()).filter(|name| *name != "-")
     }
 }
 
-/// A line and whether it is of the request itself.
+/// A line of a request's trace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Step {
     /// The line.
     pub line: Line,
-    /// Whether it names the request; otherwise it tells what its daemon believed or lost meanwhile.
-    pub own: bool,
+    /// Whether the line names the request; otherwise it is about the daemon or the servers concerned.
+    pub of_request: bool,
 }
 
-/// The way of `request` through `lines`, in order of time: its own lines, and what the same daemons noted of the
-/// servers concerned, of the store, the policy and themselves, from a little before until its end.
-pub fn way(lines: &[Line], request: &str) -> Vec<Step> {
-    let own = |line: &Line| line.field("request") == Some(request);
-    let ours: Vec<&Line> = lines.iter().filter(|line| own(line)).collect();
-    let (Some(first), Some(last)) =
-        (ours.iter().map(|line| line.at_ms).min(), ours.iter().map(|line| line.at_ms).max())
+/// Returns the trace of `request` in order of time: the lines that name it and, from [`CONTEXT_MS`] before the first
+/// until the last of these, the same daemons' lines about the servers concerned, the store, the policy and themselves.
+pub fn trace(lines: &[Line], request: &str) -> Vec<Step> {
+    let of_request = |line: &Line| line.field("request") == Some(request);
+    let own: Vec<&Line> = lines.iter().filter(|line| of_request(line)).collect();
+    let (Some(first), Some(last)) = (own.iter().map(|line| line.at_ms).min(), own.iter().map(|line| line.at_ms).max())
     else {
         return Vec::new();
     };
-    let servers: BTreeSet<&str> = ours.iter().flat_map(|line| line.servers()).collect();
-    let instances: BTreeSet<&str> = ours.iter().map(|line| line.instance.as_str()).collect();
-    let near = |line: &&Line| {
-        let inside =
-            line.at_ms + BEFORE_MS >= first && line.at_ms <= last && instances.contains(line.instance.as_str());
-        let of_request = line.field("request").is_some();
+    let servers: BTreeSet<&str> = own.iter().flat_map(|line| line.servers()).collect();
+    let instances: BTreeSet<&str> = own.iter().map(|line| line.instance.as_str()).collect();
+    let is_context = |line: &&Line| {
+        let in_period =
+            line.at_ms + CONTEXT_MS >= first && line.at_ms <= last && instances.contains(line.instance.as_str());
+        let of_any_request = line.field("request").is_some();
         let of_server = line.servers().any(|server| servers.contains(server))
             || line.field("names").is_some_and(|names| names.split(',').any(|name| servers.contains(name)));
-        let general = matches!(line.part(), "life" | "mirror" | "policy" | "reader" | "logs");
-        inside && !of_request && (of_server || general)
+        let general = matches!(line.component(), "life" | "mirror" | "policy" | "reader" | "logs");
+        in_period && !of_any_request && (of_server || general)
     };
     let mut steps: Vec<Step> = lines
         .iter()
-        .filter(|line| own(line) || near(line))
-        .map(|line| Step { line: line.clone(), own: own(line) })
+        .filter(|line| of_request(line) || is_context(line))
+        .map(|line| Step { line: line.clone(), of_request: of_request(line) })
         .collect();
     steps.sort_by_key(|step| step.line.at_ms);
     steps
--- a/crates/ctl/src/verbs/check.rs
+++ b/crates/ctl/src/verbs/check.rs
@@ -1,4 +1,4 @@
-//! `check`: is a file a good policy, or good settings of a daemon?
+//! `check`: checks a policy file or a daemon's settings file.
 
 use std::path::Path;
 
@@ -7,10 +7,10 @@
 
 use crate::error::{Error, Result};
 
-/// Keys that only a policy has.
+/// Section headers that only a policy has.
 const POLICY_KEYS: [&str; 4] = ["[regions", "[classes", "[[links", "[[blocks"];
 
-/// Checks the file at `path`; what it is shows in its keys.
+/// Checks the file at `path`, as a policy if it contains a key of [`POLICY_KEYS`], otherwise as settings.
 pub fn run(path: &Path) -> Result<String> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| Error::Policy(config::Error::Read { path: path.to_owned(), source }))?;
--- a/crates/ctl/src/verbs/explain.rs
+++ b/crates/ctl/src/verbs/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the way of one request, from the logs of several daemons.
+//! `explain`: traces one request through the logs of several daemons.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -6,16 +6,17 @@
 use crate::error::{Error, Result};
 use crate::logs::{self, Line, Step};
 
-/// Reads `files` and gives the request's way, a line each, with times from its first line on.
+/// Reads `files` and returns the trace of `request`, one log line per line, with times relative to its first line.
 pub fn run(request: &str, files: &[PathBuf]) -> Result<String> {
     let mut lines = Vec::new();
     for file in files {
-        let text = std::fs::read_to_string(file)
-            .map_err(|source| Error::Failed(format!("{}: {source}; name a file of log lines", file.display())))?;
+        let text = std::fs::read_to_string(file).map_err(|source| {
+            Error::Failed(format!("{}: {source}; name a readable file of log lines", file.display()))
+        })?;
         lines.extend(text.lines().filter_map(Line::parse));
     }
-    let steps = logs::way(&lines, request);
-    let Some(first) = steps.iter().find(|step| step.own).map(|step| step.line.at_ms) else {
+    let steps = logs::trace(&lines, request);
+    let Some(first) = steps.iter().find(|step| step.of_request).map(|step| step.line.at_ms) else {
         return Err(Error::Failed(format!(
             "no line of {} names request {request}; give the logs of all daemons and look for `lines_left_out`",
             lines.len()
@@ -27,11 +28,11 @@
     }))
 }
 
-/// Lines that are not the request's own stand in brackets.
+/// Writes a step; lines that do not name the request are put in parentheses.
 fn write_step(text: &mut String, step: &Step, first_ms: u64) {
-    let Step { line, own } = step;
-    let after = i128::from(line.at_ms) - i128::from(first_ms);
-    let (open, close) = if *own { ("", "") } else { ("(", ")") };
-    let written = writeln!(text, "{after:>+7} ms {} {open}{}{close}", line.instance, line.text);
+    let Step { line, of_request } = step;
+    let offset_ms = i128::from(line.at_ms) - i128::from(first_ms);
+    let (open, close) = if *of_request { ("", "") } else { ("(", ")") };
+    let written = writeln!(text, "{offset_ms:>+7} ms {} {open}{}{close}", line.instance, line.text);
     debug_assert!(written.is_ok(), "writing to a string does not fail");
 }
--- a/crates/ctl/src/verbs/mod.rs
+++ b/crates/ctl/src/verbs/mod.rs
@@ -1,4 +1,4 @@
-//! What each verb does; the answer is text for standard output.
+//! The verbs. Each returns the text for standard output.
 
 mod check;
 mod drain;
@@ -12,14 +12,14 @@
 use config::policy::Policy;
 use store::Client;
 
-use crate::change::{self, Done};
+use crate::change::{self, Outcome};
 use crate::cli::{Command, Verb};
 use crate::error::{Error, Result};
 
-/// Longest time for one call to the store.
+/// Maximum time for one call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs `command`.
+/// Runs `command` and returns its output.
 pub fn run(command: &Command) -> Result<String> {
     let store = Client::new(&command.store, STORE_TIMEOUT).map_err(|error| Error::Failed(error.to_string()))?;
     let id = format!("{:016x}", fastrand::u64(..));
@@ -36,42 +36,42 @@
                 Some(expect) => *expect,
                 None => change::read(&store)?.1,
             };
-            said(command, &id, &change::replace(&store, &id, policy, expected)?)
+            acknowledgement(command, &id, &change::replace(&store, &id, policy, expected)?)
         }
         Verb::SetTarget(class, key, value) => {
-            let done = change::edit(&store, &id, |policy| target::set(policy, class, key, value))?;
-            said(command, &id, &done)
+            let outcome = change::edit(&store, &id, |policy| target::set(policy, class, key, value))?;
+            acknowledgement(command, &id, &outcome)
         }
         Verb::Drain(scope, name) => {
-            let done = change::edit(&store, &id, |policy| drain::announce(policy, *scope, name))?;
-            said(command, &id, &done)
+            let outcome = change::edit(&store, &id, |policy| drain::start(policy, *scope, name))?;
+            acknowledgement(command, &id, &outcome)
         }
         Verb::Undrain(scope, name) => {
-            let done = change::edit(&store, &id, |policy| drain::end(policy, *scope, name))?;
-            said(command, &id, &done)
+            let outcome = change::edit(&store, &id, |policy| drain::end(policy, *scope, name))?;
+            acknowledgement(command, &id, &outcome)
         }
         Verb::Explain(request, files) => explain::run(request, files),
         Verb::Settle(id) => settle(command, &store, id),
     }
 }
 
-/// Says which revision a change became.
-fn said(command: &Command, id: &str, done: &Done) -> Result<String> {
+/// Returns the output for a change that is in effect: its id and the revision that contains it.
+fn acknowledgement(command: &Command, id: &str, outcome: &Outcome) -> Result<String> {
     if command.json {
-        return Ok(format!("{{\"change\":\"{id}\",\"revision\":{}}}\n", done.revision()));
+        return Ok(format!("{{\"change\":\"{id}\",\"revision\":{}}}\n", outcome.revision()));
     }
-    Ok(match done {
-        Done::Revision(revision) => format!("done: revision {revision}\n"),
-        Done::Before(revision) => format!("done: part of revision {revision}, which others changed since\n"),
-        Done::Already(revision) => format!("no change: revision {revision} says so already\n"),
+    Ok(match outcome {
+        Outcome::Applied(revision) => format!("done: revision {revision}\n"),
+        Outcome::Superseded(revision) => format!("done: part of revision {revision}, which others changed since\n"),
+        Outcome::Unchanged(revision) => format!("no change: revision {revision} says so already\n"),
     })
 }
 
-/// Says whether the change `id` took effect.
+/// Returns the output for the change `id` if it took effect, an error if it did not.
 fn settle(command: &Command, store: &Client, id: &str) -> Result<String> {
     let (policy, revision) = change::read(store)?;
     if policy.changes.iter().any(|change| change == id) {
-        return said(command, id, &Done::Before(revision));
+        return acknowledgement(command, id, &Outcome::Superseded(revision));
     }
     Err(Error::Failed(format!("the change {id} is not among the latest of revision {revision}: it took no effect")))
 }
--- a/crates/ctl/src/verbs/report.rs
+++ b/crates/ctl/src/verbs/report.rs
@@ -1,4 +1,4 @@
-//! `report`: service-level burn over all daemons.
+//! `report`: the service-level burn over all daemons.
 
 use std::path::Path;
 
@@ -8,11 +8,11 @@
 use crate::error::{Error, Result};
 use crate::fleet;
 
-/// Merges the daemons' reports; writes a page if `html` names a file.
+/// Merges the reports of all daemons; also writes them as a page if `html` names a file.
 pub fn run(command: &Command, html: Option<&Path>) -> Result<String> {
     let agent = fleet::agent();
     let entries = fleet::entries(&agent, &command.list)?;
-    let answers = fleet::ask::<Report>(&agent, &entries, "/burn");
+    let answers = fleet::get_all::<Report>(&agent, &entries, "/burn");
     let silent: Vec<&str> =
         answers.iter().filter(|(_, answer)| answer.is_err()).map(|(name, _)| name.as_str()).collect();
     let reports: Vec<&Report> = answers.iter().filter_map(|(_, answer)| answer.as_ref().ok()).collect();
--- a/crates/ctl/src/verbs/show.rs
+++ b/crates/ctl/src/verbs/show.rs
@@ -19,7 +19,7 @@
     state: String,
 }
 
-/// The part of a daemon's decisions that `show` needs.
+/// The fields of a daemon's answer at `/decisions` that `show` uses.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Decisions {
     region: String,
@@ -30,13 +30,13 @@
     grant_share: f64,
     open: usize,
     members: Vec<Member>,
-    /// What of the policy and of the entries of backend servers is not used, and why.
+    /// What is not used of the policy and of the entries of backend servers, with the reasons.
     #[serde(default)]
     passed_over: Vec<String>,
 }
 
 #[derive(Debug, Serialize)]
-struct Line {
+struct Daemon {
     instance: String,
     answer: Option<Decisions>,
     silent: Option<String>,
@@ -49,19 +49,19 @@
     behind: Vec<String>,
     silent: Vec<String>,
     passed_over: BTreeSet<String>,
-    daemons: Vec<Line>,
+    daemons: Vec<Daemon>,
 }
 
-/// Asks every daemon in the list.
+/// Queries every daemon in the list and returns a summary.
 pub fn run(command: &Command) -> Result<String> {
     let agent = fleet::agent();
     let entries = fleet::entries(&agent, &command.list)?;
-    let answers = fleet::ask::<Decisions>(&agent, &entries, "/decisions");
-    let lines = answers.into_iter().map(|(instance, answer)| match answer {
-        Ok(decisions) => Line { instance, answer: Some(decisions), silent: None },
-        Err(reason) => Line { instance, answer: None, silent: Some(reason) },
+    let answers = fleet::get_all::<Decisions>(&agent, &entries, "/decisions");
+    let daemons = answers.into_iter().map(|(instance, answer)| match answer {
+        Ok(decisions) => Daemon { instance, answer: Some(decisions), silent: None },
+        Err(reason) => Daemon { instance, answer: None, silent: Some(reason) },
     });
-    let summary = sum_up(lines.collect());
+    let summary = summarize(daemons.collect());
     if command.json {
         let text = serde_json::to_string_pretty(&summary).map_err(|error| Error::Failed(error.to_string()))?;
         return Ok(text + "\n");
@@ -69,16 +69,16 @@
     Ok(table(&summary))
 }
 
-fn sum_up(daemons: Vec<Line>) -> Summary {
-    let revisions = daemons.iter().filter_map(|line| line.answer.as_ref().map(|answer| answer.revision));
+fn summarize(daemons: Vec<Daemon>) -> Summary {
+    let revisions = daemons.iter().filter_map(|daemon| daemon.answer.as_ref().map(|answer| answer.revision));
     let newest = revisions.clone().max().unwrap_or(0);
     let oldest = revisions.min().unwrap_or(0);
-    let named = |keep: &dyn Fn(&Line) -> bool| -> Vec<String> {
-        daemons.iter().filter(|line| keep(line)).map(|line| line.instance.clone()).collect()
+    let names = |keep: &dyn Fn(&Daemon) -> bool| -> Vec<String> {
+        daemons.iter().filter(|daemon| keep(daemon)).map(|daemon| daemon.instance.clone()).collect()
     };
-    let behind = named(&|line| line.answer.as_ref().is_some_and(|answer| answer.revision < newest));
-    let silent = named(&|line| line.silent.is_some());
-    let answers = daemons.iter().filter_map(|line| line.answer.as_ref());
+    let behind = names(&|daemon| daemon.answer.as_ref().is_some_and(|answer| answer.revision < newest));
+    let silent = names(&|daemon| daemon.silent.is_some());
+    let answers = daemons.iter().filter_map(|daemon| daemon.answer.as_ref());
     let passed_over = answers.flat_map(|answer| answer.passed_over.clone()).collect();
     Summary { newest, oldest, behind, silent, passed_over, daemons }
 }
@@ -88,8 +88,8 @@
         "{:<16} {:<18} {:<14} {:>9} {:<6} {:>7} {:>7} {:>6} {:>8}  {}\n",
         "instance", "region", "domain", "revision", "ready", "members", "grants", "open", "store", "note"
     );
-    for line in &summary.daemons {
-        text.push_str(&row(line));
+    for daemon in &summary.daemons {
+        text.push_str(&row(daemon));
     }
     let Summary { newest, oldest, behind, silent, passed_over, .. } = summary;
     text.push_str(&format!("revision: newest {newest}, oldest {oldest}, behind {}\n", behind.len()));
@@ -103,15 +103,15 @@
     text
 }
 
-fn row(line: &Line) -> String {
-    let Some(answer) = &line.answer else {
-        return format!("{:<16} no answer: {}\n", line.instance, line.silent.as_deref().unwrap_or_default());
+fn row(daemon: &Daemon) -> String {
+    let Some(answer) = &daemon.answer else {
+        return format!("{:<16} no answer: {}\n", daemon.instance, daemon.silent.as_deref().unwrap_or_default());
     };
-    let living = answer.members.iter().filter(|member| matches!(member.state.as_str(), "alive" | "suspect")).count();
+    let live = answer.members.iter().filter(|member| matches!(member.state.as_str(), "alive" | "suspect")).count();
     let ready = if answer.ready.ready { "yes" } else { "no" };
     format!(
-        "{:<16} {:<18} {:<14} {:>9} {ready:<6} {living:>7} {:>6.1}% {:>6} {:>7.1}s  {}\n",
-        line.instance,
+        "{:<16} {:<18} {:<14} {:>9} {ready:<6} {live:>7} {:>6.1}% {:>6} {:>7.1}s  {}\n",
+        daemon.instance,
         answer.region,
         answer.domain,
         answer.revision,
--- a/crates/ctl/tests/change.rs
+++ b/crates/ctl/tests/change.rs
@@ -1,8 +1,8 @@
-//! Changes of the policy under lost answers, outages and racing operators.
+//! Changes of the policy with lost answers, outages and concurrent operators.
 
 use config::policy::{Policy, Scope};
 use ctl::Error;
-use ctl::change::{self, Done};
+use ctl::change::{self, Outcome};
 use ctl::cli::{Command, Verb};
 use fakes::memory::{Fault, Memory};
 use rstest::rstest;
@@ -11,7 +11,7 @@
 const POLICY: &str = include_str!("../../../deploy/bayline/policy.toml");
 
 fn policy() -> Policy {
-    Policy::parse("p", POLICY).expect("the policy is good")
+    Policy::parse("p", POLICY).expect("the policy is valid")
 }
 
 fn store() -> Memory {
@@ -25,7 +25,7 @@
     Ok(policy.check("p")?)
 }
 
-/// A store that fails the next calls as told, then works.
+/// A store whose next calls fail with the given faults, one per call, and that works afterwards.
 struct Faulty {
     store: Memory,
     faults: std::sync::Mutex<Vec<Fault>>,
@@ -36,40 +36,40 @@
         Self { store, faults: std::sync::Mutex::new(faults.iter().rev().copied().collect()) }
     }
 
-    fn turn(&self) {
-        let fault = self.faults.lock().expect("no test panics here").pop().unwrap_or_default();
+    fn set_next_fault(&self) {
+        let fault = self.faults.lock().expect("the lock is not poisoned").pop().unwrap_or_default();
         self.store.set_fault(fault);
     }
 }
 
 impl Store for Faulty {
     fn read(&self, key: &str) -> store::Result<Option<Entry>> {
-        self.turn();
+        self.set_next_fault();
         self.store.read(key)
     }
 
     fn list(&self, prefix: &str) -> store::Result<Vec<Entry>> {
-        self.turn();
+        self.set_next_fault();
         self.store.list(prefix)
     }
 
     fn commit(&self, changes: &[Change]) -> store::Result<Commit> {
-        self.turn();
+        self.set_next_fault();
         self.store.commit(changes)
     }
 
     fn grant(&self, ttl: std::time::Duration) -> store::Result<Lease> {
-        self.turn();
+        self.set_next_fault();
         self.store.grant(ttl)
     }
 
     fn renew(&self, lease: Lease) -> store::Result<bool> {
-        self.turn();
+        self.set_next_fault();
         self.store.renew(lease)
     }
 }
 
-/// Calls are: read, write, then read back and write again in turns.
+/// The calls are a read and a write, then read-backs and repeated writes by turns.
 #[rstest]
 #[case::healthy(&[], true)]
 #[case::answer_lost(&[Fault::None, Fault::LoseAnswer], true)]
@@ -78,21 +78,21 @@
 #[case::two_answers_lost(&[Fault::None, Fault::LoseRequest, Fault::None, Fault::LoseAnswer], true)]
 #[case::down_before_the_write(&[Fault::None, Fault::Down], false)]
 #[case::down_from_the_start(&[Fault::Down], false)]
-fn a_change_is_acknowledged_only_if_it_took_effect_once(#[case] faults: &[Fault], #[case] done: bool) {
+fn a_change_is_acknowledged_only_if_it_took_effect_once(#[case] faults: &[Fault], #[case] acknowledged: bool) {
     let store = Faulty::new(store(), faults);
     let result = change::edit(&store, "mine", |policy| drain(policy, "ohio"));
-    assert_eq!(result.is_ok(), done, "{result:?}");
+    assert_eq!(result.is_ok(), acknowledged, "{result:?}");
     store.store.set_fault(Fault::None);
     let (after, revision) = change::read(&store.store).expect("the store works again");
-    assert_eq!(after.drains.len(), usize::from(done));
-    if let Ok(done) = result {
-        assert_eq!(done.revision(), revision);
+    assert_eq!(after.drains.len(), usize::from(acknowledged));
+    if let Ok(outcome) = result {
+        assert_eq!(outcome.revision(), revision);
         assert_eq!(after.changes.iter().filter(|change| *change == "mine").count(), 1);
     }
 }
 
 #[test]
-fn an_unknown_outcome_is_said_and_can_be_settled() {
+fn an_unknown_outcome_is_reported_and_can_be_settled() {
     let faults = [&[Fault::None, Fault::LoseAnswer][..], &[Fault::Down; 8][..]].concat();
     let store = Faulty::new(store(), &faults);
     let error = change::edit(&store, "mine", |policy| drain(policy, "ohio")).expect_err("the store went down");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn racing_operators_lose_nothing() {
+fn concurrent_operators_lose_no_change() {
     let store = store();
     std::thread::scope(|scope| {
         for name in ["ohio", "wisconsin"] {
@@ -117,17 +117,17 @@
 }
 
 #[test]
-fn an_operator_who_was_slower_does_not_overwrite() {
+fn a_replacement_of_an_old_revision_is_refused() {
     let store = store();
-    let (_, seen) = change::read(&store).expect("the store works");
+    let (_, old) = change::read(&store).expect("the store works");
     change::edit(&store, "other", |policy| drain(policy, "ohio")).expect("the store works");
-    let error = change::replace(&store, "mine", policy(), seen).expect_err("the policy moved on");
+    let error = change::replace(&store, "mine", policy(), old).expect_err("the policy has a newer revision");
     assert_eq!(error.exit_code(), 3);
     assert_eq!(change::read(&store).expect("the store works").0.drains.len(), 1);
 }
 
 #[test]
-fn a_bad_change_changes_nothing() {
+fn an_invalid_change_changes_nothing() {
     let store = store();
     let before = change::read(&store).expect("the store works");
     let result = change::edit(&store, "mine", |policy| {
@@ -139,19 +139,19 @@
 }
 
 #[test]
-fn a_change_that_says_nothing_new_keeps_the_revision() {
+fn an_edit_without_effect_keeps_the_revision() {
     let store = store();
     let (_, revision) = change::read(&store).expect("the store works");
-    let done = change::edit(&store, "mine", |_| Ok(())).expect("the store works");
-    assert_eq!(done, Done::Already(revision));
+    let outcome = change::edit(&store, "mine", |_| Ok(())).expect("the store works");
+    assert_eq!(outcome, Outcome::Unchanged(revision));
 }
 
 #[test]
-fn a_half_written_policy_in_the_store_is_named() {
+fn a_truncated_policy_in_the_store_is_an_input_error() {
     let store = store();
     let (_, revision) = change::read(&store).expect("the store works");
     store.commit(&[Change::set(key::POLICY, revision, b"[regions".to_vec())]).expect("the store works");
-    assert_eq!(change::read(&store).expect_err("the policy is broken").exit_code(), 2);
+    assert_eq!(change::read(&store).expect_err("the policy is not valid TOML").exit_code(), 2);
 }
 
 #[rstest]
@@ -162,8 +162,8 @@
 #[case::show(&["show", "--json"], Some(Verb::Show))]
 #[case::drain(&["drain", "region", "ohio"], Some(Verb::Drain(Scope::Region, "ohio".to_owned())))]
 #[case::help(&["--help"], Some(Verb::Help))]
-fn command_lines(#[case] words: &[&str], #[case] verb: Option<Verb>) {
-    let parsed = Command::parse(words.iter().map(|word| (*word).to_owned()));
+fn command_lines(#[case] arguments: &[&str], #[case] verb: Option<Verb>) {
+    let parsed = Command::parse(arguments.iter().map(|argument| (*argument).to_owned()));
     match (parsed, verb) {
         (Ok(command), Some(verb)) => assert_eq!(command.verb, verb),
         (Err(error), None) => assert_eq!(error.exit_code(), 2),
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,9 +1,9 @@
-//! `explain`, on lines as daemons write them and a bench passes them on.
+//! `explain`, on log lines as daemons write them and a log collector forwards them.
 
 use std::path::PathBuf;
 
 use ctl::cli::{Command, Verb};
-use ctl::logs::{Line, way};
+use ctl::logs::{Line, trace};
 use ctl::verbs;
 
 const LOG: &str = "\
@@ -23,11 +23,11 @@
 }
 
 #[test]
-fn a_line_is_read_behind_whatever_stands_before_it() {
+fn a_line_is_parsed_whatever_precedes_it() {
     let line =
         Line::parse("  11.5 host 101.500 INFO  instance=a dispatch: sent request=r2 object=\"an object\" again=false");
-    let line = line.expect("it is a line");
-    assert_eq!((line.at_ms, line.instance.as_str(), line.part()), (101_500, "a", "dispatch"));
+    let line = line.expect("it is a log line");
+    assert_eq!((line.at_ms, line.instance.as_str(), line.component()), (101_500, "a", "dispatch"));
     assert_eq!(line.field("object"), Some("an object"));
     assert_eq!(line.field("again"), Some("false"));
     assert_eq!(line.field("ject"), None);
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn a_way_holds_the_request_and_what_its_daemon_believed_of_its_servers() {
-    let steps = way(&lines(), "r1");
-    let texts: Vec<(bool, &str)> = steps.iter().map(|step| (step.own, step.line.text.as_str())).collect();
+fn a_trace_holds_the_request_and_the_lines_about_its_servers() {
+    let steps = trace(&lines(), "r1");
+    let texts: Vec<(bool, &str)> = steps.iter().map(|step| (step.of_request, step.line.text.as_str())).collect();
     assert_eq!(texts.len(), 5, "{texts:#?}");
     assert_eq!(texts[1], (false, "INFO dispatch: server ejected server=s1 for_ms=1000 own=2"));
     assert!(texts[2].0 && texts[2].1.starts_with("INFO dispatch: held"));
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn the_verb_reads_files_and_names_a_request_that_is_not_there() {
+fn the_verb_reads_files_and_reports_a_missing_request() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = folder.join("explain.log");
-    std::fs::write(&file, LOG).expect("the folder can be written to");
+    std::fs::write(&file, LOG).expect("the folder is writable");
     let run = |request: &str| {
-        let words = ["explain", request, file.to_str().expect("the name is plain")].map(str::to_owned);
-        let command = Command::parse(words).expect("the words are good");
+        let arguments = ["explain", request, file.to_str().expect("the path is valid UTF-8")].map(str::to_owned);
+        let command = Command::parse(arguments).expect("the arguments are valid");
         assert!(matches!(command.verb, Verb::Explain(..)));
         verbs::run(&command)
     };
-    let text = run("r1").expect("the request is there");
+    let text = run("r1").expect("the logs name the request");
     assert!(text.starts_with("  -1500 ms a (INFO life: started"), "{text}");
     assert!(text.ends_with("+200 ms a INFO callers: answered request=r1 class=c result=wont-finish status=0 ms=200\n"));
     let error = run("r3").expect_err("no line names it").to_string();
