--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -11,19 +11,19 @@
 pub const USAGE: &str = "\
 hemlockctl [OPTIONS] VERB
 
-Verbs that look:
+Verbs that only read:
   show                        revision, readiness and drains of every daemon
   policy                      print the policy in the store
   report [--html FILE]        service-level burn by class and region
-  explain REQUEST FILE...     the way of one request, from the logs of the daemons
+  explain REQUEST FILE...     trace one request through the logs of the daemons
   check FILE                  check a policy file or a daemon's settings file
 
-Verbs that change the policy; each says the revision it became:
+Verbs that change the policy; each prints the revision that contains the change:
   apply FILE [--expect N]     replace the policy by FILE, if it is at revision N
   set-target CLASS KEY VALUE  KEY: target-ms, target-share, deadline-ms or rank
   drain SCOPE NAME            SCOPE: region, domain or instance
   undrain SCOPE NAME          end a drain
-  settle ID                   find out what became of a change whose outcome was unknown
+  settle ID                   tell whether a change whose outcome was unknown took effect
 
 Options:
   --store IP:PORT    the platform's store   (default 127.0.0.1:7900)
