--- a/crates/config/src/configs/mod.rs
+++ b/crates/config/src/configs/mod.rs
@@ -71,7 +71,7 @@
     pub platform: Platform,
     /// The platform's list of instances.
     pub list: List,
-    /// Sending work to backend servers.
+    /// Dispatch of requests to backend servers.
     pub dispatch: Dispatch,
 }
 
--- a/crates/ctl/src/logs.rs
+++ b/crates/ctl/src/logs.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeSet;
 
-/// Time before a request's first line from which other lines are part of its trace, in milliseconds.
+/// Time before a request's first line from which related lines belong to its trace, as they may explain it, in
+/// milliseconds.
 const CONTEXT_MS: u64 = 5_000;
 
 /// A line of a daemon's log.
