--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -10,7 +10,7 @@
 use config::configs::Settings;
 use daemon::adapter::Adapter;
 use daemon::lifecycle::Daemon;
-use fakes::backend::{Running, Setup};
+use fakes::backend::{Server, Setup};
 use log::kv::{Key, Value, VisitSource};
 use rstest::rstest;
 
@@ -19,17 +19,17 @@
 [classes.order]\nservice = \"s\"\npaths = [\"/orders\"]\nidempotent = false\nrank = 0\ntarget_ms = 100\ntarget_share = 0.99\ndeadline_ms = 2000\n";
 
 struct World {
-    backend: Running,
-    _list: fakes::list::Running,
-    store: fakes::store::Running,
+    backend: Server,
+    _list: fakes::list::Server,
+    store: fakes::store::Server,
     daemon: Option<Daemon>,
     address: String,
 }
 
 impl World {
     fn new(net: u8) -> Self {
-        let backend = Running::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the stand-in starts");
-        let store = fakes::store::Running::start("127.0.0.1:0").expect("the stand-in starts");
+        let backend = Server::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the stand-in starts");
+        let store = fakes::store::Server::start("127.0.0.1:0").expect("the stand-in starts");
         let instance = Instance {
             name: "b".to_owned(),
             role: Role::Backend,
@@ -44,7 +44,7 @@
             started_at: 0,
             state: State::Live,
         };
-        let list = fakes::list::Running::start("127.0.0.1:0", vec![instance], Duration::ZERO).expect("it starts");
+        let list = fakes::list::Server::start("127.0.0.1:0", vec![instance], Duration::ZERO).expect("it starts");
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let policy = folder.join(format!("port-{net}.toml"));
         std::fs::write(&policy, POLICY).expect("the file can be written");
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -1,8 +1,9 @@
-//! A backend server: slots, cold start, drain, shed, slowness, late load reports, cancel, deadline and crash.
+//! A backend server with slots, a cold start, load shedding, delayed load reports, cancellation, deadlines, and faults
+//! on demand.
 //!
-//! Work is any path but these: `GET /load`, `POST /cancel?id=`, `POST /fault` with [`Faults`] as JSON, and
-//! `GET /runs` with how often each idempotency key was run. Work names its time with `work_ms=` in the query
-//! and its answer's size with `bytes=`. A request with `crash=1` in its query stops the server.
+//! `GET /load` returns the load report, `POST /cancel?id=` cancels a request, `POST /fault` sets [`Faults`] given as
+//! JSON, and `GET /runs` returns how often each idempotency key was run. Any other path is work: `work_ms=` in its query
+//! sets its running time and `bytes=` the size of its answer. A request with `crash=1` in its query crashes the server.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -10,34 +11,34 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
-use tiny_http::{Request, Response, Server};
+use tiny_http::{Request, Response};
 
 use crate::http;
 
-/// How often running work looks for its cancellation.
-const CANCEL_CHECK: Duration = Duration::from_millis(2);
+/// How often running work checks whether it was cancelled.
+const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How a server is set up.
+/// Configuration of a server.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// The server's name, told in each answer.
+    /// The server's name, part of each answer.
     pub name: String,
-    /// Requests run at once.
+    /// Maximum number of requests run at the same time.
     pub slots: u32,
-    /// Requests that wait for a slot before more are shed.
+    /// Maximum number of requests that wait for a slot before more are shed.
     pub queue: u32,
-    /// Time of work that names none, in milliseconds.
+    /// Running time of work without `work_ms`, in milliseconds.
     pub work_ms: u64,
-    /// How long after the start work takes three times as long, in milliseconds.
+    /// How long after the start the server is cold, so that work takes three times as long; in milliseconds.
     pub cold_ms: u64,
     /// Age of load reports, in milliseconds.
     pub report_lag_ms: u64,
-    /// Whether a crash ends the process; otherwise the server just stops answering.
+    /// Whether a crash ends the process; otherwise the server closes all later work connections without an answer.
     pub exit_on_crash: bool,
 }
 
 impl Setup {
-    /// A server named `name` with three slots, work of 20 ms and reports 500 ms old.
+    /// Returns the configuration of a server `name` with three slots, work of 20 ms and load reports 500 ms old.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Sets the time of work that names none, in milliseconds.
+    /// Sets the running time of work without `work_ms`, in milliseconds.
     #[must_use]
     pub const fn with_work_ms(mut self, work_ms: u64) -> Self {
         self.work_ms = work_ms;
@@ -58,24 +59,24 @@
     }
 }
 
-/// Faults in force.
+/// The active faults.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[expect(clippy::struct_excessive_bools, reason = "each fault is switched on its own")]
 pub struct Faults {
-    /// Work takes so many times as long.
+    /// Factor by which the running time of work is multiplied.
     pub slow: f64,
-    /// Load reports say so, and new work is shed.
+    /// Load reports announce a drain, and new work is shed.
     pub draining: bool,
-    /// Requests are run and never answered.
+    /// Requests are run but never answered.
     pub silent: bool,
-    /// Answers end in the middle.
+    /// Answers are cut off before their announced length.
     pub cut: bool,
     /// All work is shed.
     pub shed: bool,
-    /// Connections are closed without an answer before anything is run.
+    /// Connections with work are closed without an answer, and nothing is run.
     pub dead: bool,
-    /// All work is for another server: the address was used again.
+    /// All work is rejected with status 421, as by another server that has taken over the address.
     pub misdirected: bool,
 }
 
@@ -88,26 +89,26 @@
 /// A load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests running.
+    /// Number of running requests.
     pub busy: u32,
-    /// Requests waiting.
+    /// Number of requests that wait for a slot.
     pub queued: u32,
-    /// Requests run at once.
+    /// Maximum number of requests run at the same time.
     pub slots: u32,
-    /// Whether the server is about to stop.
+    /// Whether the server is draining and takes no new work.
     pub draining: bool,
     /// Age of the report, in milliseconds.
     pub age_ms: u64,
 }
 
 #[derive(Debug)]
-struct Shared {
+struct State {
     setup: Setup,
     start: Instant,
     faults: Faults,
     busy: u32,
     queued: u32,
-    /// Reports by the time they were made, oldest first.
+    /// Reports as (time, busy, queued), oldest first.
     reports: Vec<(Instant, u32, u32)>,
     cancelled: BTreeSet<String>,
     runs: BTreeMap<String, u32>,
@@ -115,28 +116,28 @@
 }
 
 #[derive(Debug)]
-struct Cell {
-    shared: Mutex<Shared>,
-    freed: Condvar,
+struct Shared {
+    state: Mutex<State>,
+    slot_freed: Condvar,
 }
 
-/// A running backend server.
-pub struct Running {
-    server: Arc<Server>,
-    cell: Arc<Cell>,
+/// A running backend server; dropping it stops it.
+pub struct Server {
+    listener: Arc<tiny_http::Server>,
+    shared: Arc<Shared>,
 }
 
-impl std::fmt::Debug for Running {
+impl std::fmt::Debug for Server {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Running").field("address", &self.address()).finish_non_exhaustive()
+        f.debug_struct("Server").field("address", &self.address()).finish_non_exhaustive()
     }
 }
 
-impl Running {
+impl Server {
     /// Starts a server at `address`.
     pub fn start(address: &str, setup: Setup) -> std::io::Result<Self> {
-        let server = Arc::new(Server::http(address).map_err(std::io::Error::other)?);
-        let shared = Shared {
+        let listener = Arc::new(tiny_http::Server::http(address).map_err(std::io::Error::other)?);
+        let state = State {
             setup,
             start: Instant::now(),
             faults: Faults::default(),
@@ -147,207 +148,212 @@
             runs: BTreeMap::new(),
             served: 0,
         };
-        let cell = Arc::new(Cell { shared: Mutex::new(shared), freed: Condvar::new() });
-        let handle = Arc::clone(&cell);
-        http::serve(Arc::clone(&server), move |request| answer(request, &handle));
-        Ok(Self { server, cell })
+        let shared = Arc::new(Shared { state: Mutex::new(state), slot_freed: Condvar::new() });
+        let handler_state = Arc::clone(&shared);
+        http::serve(Arc::clone(&listener), move |request| handle(request, &handler_state));
+        Ok(Self { listener, shared })
     }
 
-    /// Where the server listens, `IP:PORT`.
+    /// Returns the address the server listens at, `IP:PORT`.
     pub fn address(&self) -> String {
-        self.server.server_addr().to_string()
+        self.listener.server_addr().to_string()
     }
 
-    /// Sets the faults.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
-        self.cell.lock().faults = faults;
+        self.shared.lock().faults = faults;
     }
 
-    /// How often each idempotency key was run.
+    /// Returns how often each idempotency key was run.
     pub fn runs(&self) -> BTreeMap<String, u32> {
-        self.cell.lock().runs.clone()
+        self.shared.lock().runs.clone()
     }
 
-    /// Requests run so far.
+    /// Returns the number of requests that have released their slot, cancelled ones included.
     pub fn served(&self) -> u64 {
-        self.cell.lock().served
+        self.shared.lock().served
     }
 }
 
-impl Drop for Running {
+impl Drop for Server {
     fn drop(&mut self) {
-        self.server.unblock();
+        self.listener.unblock();
     }
 }
 
-impl Cell {
-    fn lock(&self) -> MutexGuard<'_, Shared> {
-        self.shared.lock().expect("no handler panics while holding the server")
+impl Shared {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no handler panics while holding the state")
     }
 
-    /// Waits for a slot; `false` if the work is shed.
-    fn enter(&self) -> bool {
-        let mut shared = self.lock();
-        let faults = &shared.faults;
+    /// Waits for a slot; returns `false` if the work is shed.
+    fn acquire_slot(&self) -> bool {
+        let mut state = self.lock();
+        let faults = &state.faults;
         if faults.shed || faults.draining {
             return false;
         }
-        if shared.busy >= shared.setup.slots && shared.queued >= shared.setup.queue {
+        if state.busy >= state.setup.slots && state.queued >= state.setup.queue {
             return false;
         }
-        shared.queued += 1;
-        while shared.busy >= shared.setup.slots {
-            shared = self.freed.wait(shared).expect("no handler panics while holding the server");
+        state.queued += 1;
+        while state.busy >= state.setup.slots {
+            state = self.slot_freed.wait(state).expect("no handler panics while holding the state");
         }
-        shared.queued -= 1;
-        shared.busy += 1;
-        shared.note();
+        state.queued -= 1;
+        state.busy += 1;
+        state.record_report();
         true
     }
 
-    fn leave(&self) {
-        let mut shared = self.lock();
-        shared.busy -= 1;
-        shared.served += 1;
-        shared.note();
-        drop(shared);
-        self.freed.notify_one();
+    fn release_slot(&self) {
+        let mut state = self.lock();
+        state.busy -= 1;
+        state.served += 1;
+        state.record_report();
+        drop(state);
+        self.slot_freed.notify_one();
     }
 }
 
-impl Shared {
-    fn note(&mut self) {
+impl State {
+    /// Records the present load and drops reports that are older than the newest visible one.
+    fn record_report(&mut self) {
         let now = Instant::now();
         let lag = Duration::from_millis(self.setup.report_lag_ms);
         self.reports.push((now, self.busy, self.queued));
-        let visible = self.reports.iter().rposition(|(made, _, _)| now.duration_since(*made) >= lag);
+        let visible = self.reports.iter().rposition(|(at, _, _)| now.duration_since(*at) >= lag);
         self.reports.drain(..visible.unwrap_or(0));
     }
 
+    /// Returns the newest report that is at least as old as the report lag; an idle server's if there is none.
     fn load(&self, now: Instant) -> Load {
         let lag = Duration::from_millis(self.setup.report_lag_ms);
-        let visible = self.reports.iter().rfind(|(made, _, _)| now.duration_since(*made) >= lag);
+        let visible = self.reports.iter().rfind(|(at, _, _)| now.duration_since(*at) >= lag);
         let (busy, queued) = visible.map_or((0, 0), |(_, busy, queued)| (*busy, *queued));
         let age_ms = self.setup.report_lag_ms;
         Load { busy, queued, slots: self.setup.slots, draining: self.faults.draining, age_ms }
     }
 
-    fn work_time(&self, asked_ms: Option<u64>) -> Duration {
+    fn work_time(&self, requested_ms: Option<u64>) -> Duration {
         let cold = self.start.elapsed() < Duration::from_millis(self.setup.cold_ms);
         let factor = self.faults.slow * if cold { 3.0 } else { 1.0 };
-        Duration::from_millis(asked_ms.unwrap_or(self.setup.work_ms)).mul_f64(factor)
+        Duration::from_millis(requested_ms.unwrap_or(self.setup.work_ms)).mul_f64(factor)
     }
 }
 
-fn answer(mut request: Request, cell: &Cell) {
+fn handle(mut request: Request, shared: &Shared) {
     let url = request.url().to_owned();
-    let body = http::body(&mut request);
+    let body = http::read_body(&mut request);
     match url.split('?').next().unwrap_or_default() {
         "/load" => {
-            let load = cell.lock().load(Instant::now());
+            let load = shared.lock().load(Instant::now());
             http::answer_json(request, &load);
         }
         "/runs" => {
-            let runs = cell.lock().runs.clone();
+            let runs = shared.lock().runs.clone();
             http::answer_json(request, &runs);
         }
         "/cancel" => {
-            let id = http::query(&url, "id").unwrap_or_default().to_owned();
-            cell.lock().cancelled.insert(id);
+            let id = http::query_param(&url, "id").unwrap_or_default().to_owned();
+            shared.lock().cancelled.insert(id);
             http::answer_status(request, 200);
         }
         "/fault" => match serde_json::from_slice::<Faults>(&body) {
             Ok(faults) => {
-                cell.lock().faults = faults;
+                shared.lock().faults = faults;
                 http::answer_status(request, 200);
             }
             Err(_) => http::answer_status(request, 400),
         },
-        _ => work(request, &url, &body, cell),
+        _ => handle_work(request, &url, &body, shared),
     }
 }
 
-fn work(request: Request, url: &str, body: &[u8], cell: &Cell) {
-    if cell.lock().faults.dead {
+fn handle_work(request: Request, url: &str, body: &[u8], shared: &Shared) {
+    if shared.lock().faults.dead {
         return drop(request.into_writer());
     }
-    if cell.lock().faults.misdirected {
+    if shared.lock().faults.misdirected {
         return http::answer_status(request, 421);
     }
-    if !cell.enter() {
+    if !shared.acquire_slot() {
         return shed(request);
     }
-    if http::query(url, "crash") == Some("1") {
-        crash(cell);
-        cell.leave();
+    if http::query_param(url, "crash") == Some("1") {
+        crash(shared);
+        shared.release_slot();
         return drop(request.into_writer());
     }
     let id = http::header(&request, "x-request-id").unwrap_or_default().to_owned();
     if let Some(key) = http::header(&request, "idempotency-key") {
-        *cell.lock().runs.entry(key.to_owned()).or_default() += 1;
+        *shared.lock().runs.entry(key.to_owned()).or_default() += 1;
     }
-    let finished = run(&request, url, &id, cell);
-    cell.leave();
-    let faults = cell.lock().faults.clone();
+    let finished = run(&request, url, &id, shared);
+    shared.release_slot();
+    let faults = shared.lock().faults.clone();
     if faults.silent {
-        // The connection stays open and nothing is ever said on it.
+        // Leaks the writer, so that the connection stays open without an answer.
         std::mem::forget(request.into_writer());
         return;
     }
     if !finished {
         return http::answer_status(request, 499);
     }
-    reply(request, url, body, cell, faults.cut);
+    reply(request, url, body, shared, faults.cut);
 }
 
-fn crash(cell: &Cell) {
-    if cell.lock().setup.exit_on_crash {
+/// Ends the process, or makes the server close all later work connections without an answer.
+fn crash(shared: &Shared) {
+    if shared.lock().setup.exit_on_crash {
         std::process::exit(70);
     }
-    cell.lock().faults.dead = true;
+    shared.lock().faults.dead = true;
 }
 
-/// Runs the work; `false` if it was cancelled or its deadline passed.
-fn run(request: &Request, url: &str, id: &str, cell: &Cell) -> bool {
-    let asked = http::query(url, "work_ms").and_then(|text| text.parse().ok());
+/// Runs the work; returns `false` if it was cancelled or its deadline passed.
+fn run(request: &Request, url: &str, id: &str, shared: &Shared) -> bool {
+    let requested_ms = http::query_param(url, "work_ms").and_then(|text| text.parse().ok());
     let start = Instant::now();
-    let done = start + cell.lock().work_time(asked);
+    let finish_at = start + shared.lock().work_time(requested_ms);
     let deadline_ms: Option<u64> = http::header(request, "x-deadline-ms").and_then(|text| text.parse().ok());
     let deadline = deadline_ms.map(|deadline_ms| start + Duration::from_millis(deadline_ms));
     loop {
         let now = Instant::now();
-        if now >= done {
+        if now >= finish_at {
             return true;
         }
-        if deadline.is_some_and(|deadline| now >= deadline) || cell.lock().cancelled.remove(id) {
+        if deadline.is_some_and(|deadline| now >= deadline) || shared.lock().cancelled.remove(id) {
             return false;
         }
-        thread::sleep(CANCEL_CHECK.min(done - now));
+        thread::sleep(CANCEL_POLL_INTERVAL.min(finish_at - now));
     }
 }
 
-/// Says that nothing was run.
+/// Rejects a request with status 503 and the outcome `not-run`.
 fn shed(request: Request) {
     let response =
         Response::from_data(Vec::new()).with_status_code(503).with_header(http::make_header("x-outcome", "not-run"));
     drop(request.respond(response));
 }
 
-/// Answers with the request's own words, so that callers can tell whose answer it is.
-fn reply(request: Request, url: &str, body: &[u8], cell: &Cell, cut: bool) {
-    let size: usize = http::query(url, "bytes").and_then(|text| text.parse().ok()).unwrap_or(0);
+/// Answers with the request's `x-echo` header and a hash of its body, so that callers can detect answers to other
+/// requests.
+fn reply(request: Request, url: &str, body: &[u8], shared: &Shared, cut: bool) {
+    let size: usize = http::query_param(url, "bytes").and_then(|text| text.parse().ok()).unwrap_or(0);
     let echo = http::header(&request, "x-echo").unwrap_or_default().to_owned();
-    let name = cell.lock().setup.name.clone();
+    let name = shared.lock().setup.name.clone();
     let text = format!("echo={echo} body={:016x} server={name}\n", base::hash::bytes(body));
     let mut data = text.into_bytes();
     data.resize(data.len().max(size), b'.');
     if cut {
-        return reply_cut(request, &data);
+        return reply_truncated(request, &data);
     }
     drop(request.respond(Response::from_data(data)));
 }
 
-fn reply_cut(request: Request, data: &[u8]) {
+/// Announces 1000 bytes more than it sends, then closes the connection.
+fn reply_truncated(request: Request, data: &[u8]) {
     let mut writer = request.into_writer();
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", data.len() + 1_000);
     let written = writer.write_all(head.as_bytes()).and_then(|()| writer.write_all(data));
--- a/crates/fakes/src/bin/fakestore.rs
+++ b/crates/fakes/src/bin/fakestore.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's key-value store.
+//! `fakestore`: the stand-in for the platform's key-value store.
 
 use std::process::ExitCode;
 
@@ -8,9 +8,9 @@
 
 fn run() -> Result<(), Box<dyn std::error::Error>> {
     let options = Options::read(&["address"], USAGE)?;
-    let running = fakes::store::Running::start(options.text("address", "127.0.0.1:7900"))?;
-    println!("fakestore: listens at {}", running.address());
-    cli::wait();
+    let server = fakes::store::Server::start(options.text("address", "127.0.0.1:7900"))?;
+    println!("fakestore: listens at {}", server.address());
+    cli::wait_for_termination();
     Ok(())
 }
 
--- a/crates/fakes/src/cli.rs
+++ b/crates/fakes/src/cli.rs
@@ -1,19 +1,19 @@
-//! Command lines of the stand-ins.
+//! Command lines, exit codes and termination signals of the stand-in programs.
 
 use std::collections::BTreeMap;
 
 use lexopt::prelude::{Long, Short, ValueExt as _};
 
-/// Why a command line was not taken.
+/// Why a command line was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An option is unknown or lacks its value.
+    /// An option is unknown, or its value is missing or not valid UTF-8.
     #[error("{0}")]
     Option(#[from] lexopt::Error),
-    /// An option's value is of the wrong form.
+    /// The value of a numeric option is not a number: option, value.
     #[error("--{0}: `{1}` is not a number")]
     Number(String, String),
-    /// The user asked for help.
+    /// Help was requested; holds the usage text.
     #[error("{0}")]
     Help(String),
 }
@@ -28,7 +28,7 @@
 }
 
 impl Options {
-    /// Reads the process's command line; `names` lists the options, `usage` is shown by `--help`.
+    /// Parses the process's command line. `names` lists the accepted options; `--help` returns `usage` as an error.
     pub fn read(names: &[&str], usage: &str) -> Result<Self> {
         let mut parser = lexopt::Parser::from_env();
         let mut values = BTreeMap::new();
@@ -45,12 +45,12 @@
         Ok(Self { values })
     }
 
-    /// The text of option `name`, or `default`.
+    /// Returns the text of option `name`, or `default`.
     pub fn text<'a>(&'a self, name: &str, default: &'a str) -> &'a str {
         self.values.get(name).map_or(default, String::as_str)
     }
 
-    /// The number of option `name`, or `default`.
+    /// Returns the number given by option `name`, or `default`.
     pub fn number(&self, name: &str, default: u64) -> Result<u64> {
         let Some(text) = self.values.get(name) else {
             return Ok(default);
@@ -59,14 +59,14 @@
     }
 }
 
-/// Prints why a stand-in did not start and gives its exit code.
+/// Prints why the program `name` did not start and returns its exit code.
 pub fn fail(name: &str, error: &dyn std::error::Error) -> std::process::ExitCode {
     eprintln!("{name}: {error}");
     std::process::ExitCode::from(2)
 }
 
-/// Waits until the process is told to stop.
-pub fn wait() {
+/// Blocks until the process receives SIGTERM or SIGINT.
+pub fn wait_for_termination() {
     let signals = [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT];
     match signal_hook::iterator::Signals::new(signals) {
         Ok(mut signals) => drop(signals.forever().next()),
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers over the HTTP library.
+//! Helpers for reading requests, answering them and serving them with `tiny_http`.
 
 use std::io::Read;
 use std::sync::Arc;
@@ -7,11 +7,11 @@
 use serde::Serialize;
 use tiny_http::{Header, Request, Response, Server};
 
-/// Largest request body a stand-in reads, in bytes.
+/// Maximum size of a request body, in bytes; the rest is not read.
 const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// Reads the body of `request`.
-pub fn body(request: &mut Request) -> Vec<u8> {
+/// Reads the body of `request`; returns an empty body if reading fails.
+pub fn read_body(request: &mut Request) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut limited = request.as_reader().take(MAX_BODY_BYTES);
     match limited.read_to_end(&mut bytes) {
@@ -20,46 +20,46 @@
     }
 }
 
-/// The value of the header `name`, if given.
+/// Returns the value of the header `name`, if present.
 pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
-    let named = request.headers().iter().find(|header| header.field.as_str().as_str().eq_ignore_ascii_case(name));
-    named.map(|header| header.value.as_str())
+    let found = request.headers().iter().find(|header| header.field.as_str().as_str().eq_ignore_ascii_case(name));
+    found.map(|header| header.value.as_str())
 }
 
-/// The value of `name` in the query of `url`, if given.
-pub fn query<'a>(url: &'a str, name: &str) -> Option<&'a str> {
+/// Returns the value of the parameter `name` in the query of `url`, if present.
+pub fn query_param<'a>(url: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = url.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// A header made of two known-good texts.
+/// Returns a header; panics if a text is not ASCII.
 pub fn make_header(name: &str, value: &str) -> Header {
-    Header::from_bytes(name.as_bytes(), value.as_bytes()).expect("header texts are plain")
+    Header::from_bytes(name.as_bytes(), value.as_bytes()).expect("header texts are ASCII")
 }
 
-/// Answers with `value` as JSON; a caller that went away is ignored.
+/// Answers with `value` as JSON; a closed connection is ignored.
 pub fn answer_json<T: Serialize>(request: Request, value: &T) {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let response = Response::from_data(text).with_header(make_header("content-type", "application/json"));
     drop(request.respond(response));
 }
 
-/// Answers with a bare status.
+/// Answers with `status` and an empty body; a closed connection is ignored.
 pub fn answer_status(request: Request, status: u16) {
     drop(request.respond(Response::from_data(Vec::new()).with_status_code(status)));
 }
 
-/// Serves each request of `server` on a thread of its own until the server is unblocked.
-pub fn serve<F>(server: Arc<Server>, handle: F)
+/// Calls `handler` for each request of `server`, on a new thread, until the server is unblocked.
+pub fn serve<F>(server: Arc<Server>, handler: F)
 where
     F: Fn(Request) + Send + Sync + 'static,
 {
-    let handle = Arc::new(handle);
+    let handler = Arc::new(handler);
     thread::spawn(move || {
         while let Ok(request) = server.recv() {
-            let handle = Arc::clone(&handle);
-            thread::spawn(move || handle(request));
+            let handler = Arc::clone(&handler);
+            thread::spawn(move || handler(request));
         }
     });
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the platform's store, its list of instances, and backend servers.
 //!
-//! Each is a library part that tests drive, and a thin program over it.
+//! Each is a module that tests use, and a small program that runs it as a process.
 
 pub mod backend;
 pub mod cli;
--- a/crates/fakes/src/memory.rs
+++ b/crates/fakes/src/memory.rs
@@ -1,4 +1,4 @@
-//! The store within a test's own process, on virtual time and with faults on demand.
+//! The store in the test's own process, with virtual time and faults on demand.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 
 use crate::state::State;
 
-/// What the next calls meet.
+/// The fault that calls encounter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Calls work.
+    /// Calls succeed.
     #[default]
     None,
-    /// Calls are not sent.
+    /// Calls cannot be sent; the client receives [`Error::Unreachable`].
     Down,
-    /// Calls take effect and their answers are lost.
+    /// Calls take effect, but their answers are lost; the client receives [`Error::Ambiguous`].
     LoseAnswer,
-    /// Calls are lost before they take effect; the client cannot tell.
+    /// Calls are lost before they take effect; the client cannot tell and receives [`Error::Ambiguous`] too.
     LoseRequest,
 }
 
@@ -39,27 +39,27 @@
 }
 
 impl Memory {
-    /// An empty store at the start of time.
+    /// Returns an empty store at time zero.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Moves the store's clock.
+    /// Sets the store's clock.
     pub fn set_now(&self, now: Time) {
         self.lock().now = now;
     }
 
-    /// Sets what the next calls meet.
+    /// Sets the fault of all later calls.
     pub fn set_fault(&self, fault: Fault) {
         self.lock().fault = fault;
     }
 
-    /// Ends all leases at once.
-    pub fn lapse(&self) {
-        self.lock().state.lapse();
+    /// Expires all leases at once.
+    pub fn expire_leases(&self) {
+        self.lock().state.expire_leases();
     }
 
-    /// Calls and writes so far.
+    /// Returns the number of calls so far, and how many of them were writes.
     pub fn counts(&self) -> (u64, u64) {
         let inner = self.lock();
         (inner.calls, inner.writes)
@@ -69,18 +69,19 @@
         self.inner.lock().expect("no test panics while holding the store")
     }
 
-    fn call<T>(&self, write: bool, work: impl FnOnce(&mut State, Time) -> T) -> Result<T> {
+    /// Counts a call and applies `operation` as the present fault allows.
+    fn call<T>(&self, write: bool, operation: impl FnOnce(&mut State, Time) -> T) -> Result<T> {
         let mut inner = self.lock();
         inner.calls += 1;
         inner.writes += u64::from(write);
         let now = inner.now;
         match inner.fault {
-            Fault::None => Ok(work(&mut inner.state, now)),
-            Fault::Down => Err(Error::Unreachable("down".to_owned())),
-            Fault::LoseRequest => Err(Error::Ambiguous("lost".to_owned())),
+            Fault::None => Ok(operation(&mut inner.state, now)),
+            Fault::Down => Err(Error::Unreachable("the store is down".to_owned())),
+            Fault::LoseRequest => Err(Error::Ambiguous("the request was lost".to_owned())),
             Fault::LoseAnswer => {
-                work(&mut inner.state, now);
-                Err(Error::Ambiguous("lost".to_owned()))
+                operation(&mut inner.state, now);
+                Err(Error::Ambiguous("the answer was lost".to_owned()))
             }
         }
     }
--- a/crates/fakes/src/state.rs
+++ b/crates/fakes/src/state.rs
@@ -1,4 +1,4 @@
-//! What the key-value store holds; pure, with the present time as an argument.
+//! The contents of the key-value store, without I/O; the present time is an argument.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use base::time::Time;
 use store::{Change, Commit, Entry, Lease};
 
-/// The end of a range that goes on to the last key.
+/// The end that marks a range without an upper bound.
 const UNBOUNDED: &str = "\0";
 
 #[derive(Debug, Clone)]
@@ -17,9 +17,9 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Term {
+struct LeaseTerm {
     ttl: Duration,
-    ends: Time,
+    expires_at: Time,
 }
 
 /// Keys, leases and the store's revision.
@@ -27,31 +27,33 @@
 pub struct State {
     revision: u64,
     values: BTreeMap<String, Value>,
-    leases: BTreeMap<Lease, Term>,
+    leases: BTreeMap<Lease, LeaseTerm>,
     next_lease: u64,
 }
 
 impl State {
-    /// An empty store.
+    /// Returns an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The keys from `first` up to but without `end`; one key if `end` is `None`.
+    /// Returns the entries with keys from `first` up to, but not including, `end`; only `first` if `end` is `None`.
     pub fn range(&mut self, first: &str, end: Option<&str>, now: Time) -> Vec<Entry> {
         self.expire(now);
-        let inside = |key: &str| end.map_or(key == first, |end| end == UNBOUNDED || key < end);
-        let from = self.values.range(first.to_owned()..).take_while(|(key, _)| inside(key));
-        from.map(|(key, value)| Entry { key: key.clone(), value: value.bytes.clone(), revision: value.revision })
+        let in_range = |key: &str| end.map_or(key == first, |end| end == UNBOUNDED || key < end);
+        let entries = self.values.range(first.to_owned()..).take_while(|(key, _)| in_range(key));
+        entries
+            .map(|(key, value)| Entry { key: key.clone(), value: value.bytes.clone(), revision: value.revision })
             .collect()
     }
 
-    /// Makes all changes or none.
+    /// Applies all changes or none; a conflict if a revision differs from the expected one or a lease has expired.
     pub fn commit(&mut self, changes: &[Change], now: Time) -> Commit {
         self.expire(now);
-        let matches = |change: &Change| self.values.get(&change.key).map_or(0, |value| value.revision) == change.expect;
-        let leased = |change: &Change| change.lease.is_none_or(|lease| self.leases.contains_key(&lease));
-        if !changes.iter().all(|change| matches(change) && leased(change)) {
+        let revision_matches =
+            |change: &Change| self.values.get(&change.key).map_or(0, |value| value.revision) == change.expect;
+        let lease_exists = |change: &Change| change.lease.is_none_or(|lease| self.leases.contains_key(&lease));
+        if !changes.iter().all(|change| revision_matches(change) && lease_exists(change)) {
             return Commit::Conflict;
         }
         self.revision += 1;
@@ -61,36 +63,37 @@
         Commit::Done(self.revision)
     }
 
-    /// Makes a lease.
+    /// Creates a lease that expires after `ttl` unless it is renewed.
     pub fn grant(&mut self, ttl: Duration, now: Time) -> Lease {
         self.next_lease += 1;
         let lease = Lease(self.next_lease);
-        self.leases.insert(lease, Term { ttl, ends: now + ttl });
+        self.leases.insert(lease, LeaseTerm { ttl, expires_at: now + ttl });
         lease
     }
 
-    /// Renews a lease; says whether it was still there.
+    /// Renews a lease for its time to live; returns whether it still existed.
     pub fn renew(&mut self, lease: Lease, now: Time) -> bool {
         self.expire(now);
         let Some(term) = self.leases.get_mut(&lease) else {
             return false;
         };
-        term.ends = now + term.ttl;
+        term.expires_at = now + term.ttl;
         true
     }
 
-    /// Ends all leases at once, as when the store gives up on their holders.
-    pub fn lapse(&mut self) {
+    /// Expires all leases at once, as when their holders did not renew them in time.
+    pub fn expire_leases(&mut self) {
         for term in self.leases.values_mut() {
-            term.ends = Time::ZERO;
+            term.expires_at = Time::ZERO;
         }
     }
 
-    /// The store's revision.
+    /// Returns the store's revision, which each commit and each expiry of keys raises.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Applies one change at the present revision.
     fn apply(&mut self, change: &Change) {
         match &change.value {
             Some(bytes) => {
@@ -103,9 +106,10 @@
         }
     }
 
+    /// Removes the leases that have expired, and the keys attached to them.
     fn expire(&mut self, now: Time) {
         let leases = &mut self.leases;
-        leases.retain(|_, term| term.ends > now);
+        leases.retain(|_, term| term.expires_at > now);
         let before = self.values.len();
         self.values.retain(|_, value| value.lease.is_none_or(|lease| leases.contains_key(&lease)));
         if self.values.len() < before {
