--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -2,8 +2,9 @@
 //! on demand.
 //!
 //! `GET /load` returns the load report, `POST /cancel?id=` cancels a request, `POST /fault` sets [`Faults`] given as
-//! JSON, and `GET /runs` returns how often each idempotency key was run. Any other path is work: `work_ms=` in its query
-//! sets its running time and `bytes=` the size of its answer. A request with `crash=1` in its query crashes the server.
+//! JSON, and `GET /runs` returns how often each idempotency key was run. Any other path is work: `work_ms=` in its
+//! query sets its running time and `bytes=` the size of its answer. A request with `crash=1` in its query crashes the
+//! server.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -179,8 +179,8 @@
     http::answer_json(request, &TxnResponse { header: Header { revision }, succeeded });
 }
 
-/// Pairs each operation of a transaction with its expected revision; `None` if their numbers differ, an operation or key
-/// is invalid, or a value is too large.
+/// Pairs each operation of a transaction with its expected revision; `None` if their numbers differ, an operation or
+/// key is invalid, or a value is too large.
 fn to_changes(txn: &TxnRequest) -> Option<Vec<Change>> {
     if txn.compare.len() != txn.success.len() {
         return None;
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that keep using open connections and send an order again until it is answered whole.
+//! Callers that reuse open connections and resend each request until they receive its whole answer.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -8,35 +8,35 @@
 
 use load::answer::{Ending, judge};
 
-/// Longest time for one answer.
-const TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest time for a connection.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Sends of one order at most.
-const SENDS: usize = 6;
-/// Pause before it is sent again.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Timeout of one send, from connecting to the end of its answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
+/// Timeout of connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of times one request is sent.
+const MAX_SENDS: usize = 6;
+/// Pause before a request is sent again.
+const RESEND_DELAY: Duration = Duration::from_millis(150);
 /// Body of each order.
-const BODY: &[u8] = b"bale";
+const ORDER_BODY: &[u8] = b"bale";
 
-/// What each key's sends came to, in order.
+/// How each send of a request ended, in the order sent, by `order KEY` or `lookup KEY`.
 pub type Trace = BTreeMap<String, Vec<Ending>>;
 
-/// One caller.
+/// A caller that sends orders, which have an idempotency key and run at most once, and lookups.
 #[derive(Debug)]
 pub struct Caller<'a> {
     /// Entry instances, `IP:PORT`.
     pub entries: &'a [String],
     /// Path of orders, with its query.
-    pub orders: &'a str,
+    pub order_path: &'a str,
     /// Path of lookups, with its query.
-    pub lookups: &'a str,
-    /// Begins each of its keys.
+    pub lookup_path: &'a str,
+    /// Prefix of each of its keys.
     pub name: String,
 }
 
 impl Caller<'_> {
-    /// Sends orders and lookups by turns until `stop`; notes them in `trace`.
+    /// Sends randomly chosen orders and lookups, one at a time, until `stop` is set; records how they ended in `trace`.
     pub fn run(&self, seed: u64, stop: &AtomicBool, trace: &Mutex<Trace>) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let agent = agent();
@@ -44,27 +44,28 @@
         while !stop.load(Ordering::Relaxed) {
             number += 1;
             let key = format!("{}-{number}", self.name);
-            let order = rng.bool();
-            let mut at = rng.usize(..self.entries.len());
+            let is_order = rng.bool();
+            let mut entry = rng.usize(..self.entries.len());
             let mut endings = Vec::new();
-            for _ in 0..SENDS {
-                let ending = self.send(&agent, &self.entries[at], order, &key);
+            for _ in 0..MAX_SENDS {
+                let ending = self.send(&agent, &self.entries[entry], is_order, &key);
                 endings.push(ending);
                 if ending == Ending::Complete || stop.load(Ordering::Relaxed) {
                     break;
                 }
-                at = (at + 1) % self.entries.len();
-                thread::sleep(PAUSE);
+                entry = (entry + 1) % self.entries.len();
+                thread::sleep(RESEND_DELAY);
             }
-            let prefix = if order { "order" } else { "lookup" };
+            let prefix = if is_order { "order" } else { "lookup" };
             let mut trace = trace.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
             trace.insert(format!("{prefix} {key}"), endings);
         }
     }
 
-    /// Sends once.
-    pub fn send(&self, agent: &ureq::Agent, entry: &str, order: bool, key: &str) -> Ending {
-        let (method, path, body) = if order { ("POST", self.orders, BODY) } else { ("GET", self.lookups, &b""[..]) };
+    /// Sends an order or a lookup to `entry` once; returns how it ended.
+    pub fn send(&self, agent: &ureq::Agent, entry: &str, is_order: bool, key: &str) -> Ending {
+        let (method, path, body) =
+            if is_order { ("POST", self.order_path, ORDER_BODY) } else { ("GET", self.lookup_path, &b""[..]) };
         let builder = ureq::http::Request::builder()
             .method(method)
             .uri(format!("http://{entry}{path}"))
@@ -88,11 +89,11 @@
     }
 }
 
-/// A client with connections of its own.
+/// Returns an HTTP client with its own connection pool.
 pub fn agent() -> ureq::Agent {
     let config = ureq::Agent::config_builder()
-        .timeout_global(Some(TIMEOUT))
-        .timeout_connect(Some(CONNECT))
+        .timeout_global(Some(REQUEST_TIMEOUT))
+        .timeout_connect(Some(CONNECT_TIMEOUT))
         .http_status_as_error(false)
         .proxy(None)
         .build();
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! The promises, checked on what callers and backend servers saw.
+//! Checks the guarantees against what callers and backend servers saw.
 
 use std::collections::BTreeMap;
 
@@ -6,39 +6,44 @@
 
 use crate::caller::Trace;
 
-/// How often each key was run, over all backend servers, as far as they lived to tell.
+/// How often each key was run, summed over all backend servers. Runs of servers that could not be asked before they
+/// ended are missing.
 pub type Runs = BTreeMap<String, u64>;
 
-/// What was promised and not kept; empty if all was.
-pub fn broken(trace: &Trace, runs: &Runs) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Returns a description of each violated guarantee: an order runs at most once, no caller receives another's answer,
+/// and an order that is refused each time it is sent does not run.
+pub fn violations(trace: &Trace, runs: &Runs) -> Vec<String> {
+    let mut violations = Vec::new();
     for (key, count) in runs.iter().filter(|(key, count)| **count > 1 && trace.contains_key(&format!("order {key}"))) {
-        broken.push(format!("order {key} ran {count} times"));
+        violations.push(format!("order {key} ran {count} times"));
     }
     for (name, endings) in trace {
         if endings.contains(&Ending::Foreign) {
-            broken.push(format!("{name}: an answer that is another's or cut short: {endings:?}"));
+            violations.push(format!("{name}: received another request's answer or a truncated one: {endings:?}"));
         }
         let Some(key) = name.strip_prefix("order ") else { continue };
         let refused = endings.iter().all(|ending| matches!(ending, Ending::NotRun | Ending::Refused));
         if refused && runs.contains_key(key) {
-            broken.push(format!("{name}: ran, and its caller was told each time that it had not: {endings:?}"));
+            violations.push(format!("{name}: ran, although it was reported as not run each time: {endings:?}"));
         }
     }
-    broken
+    violations
 }
 
-/// The revision in force at one daemon, seen again and again.
+/// The revision last seen in force at each daemon.
 #[derive(Debug, Clone, Default)]
 pub struct Revisions {
-    newest: BTreeMap<String, (u64, u64)>,
+    /// Number of restarts and revision, by daemon.
+    last: BTreeMap<String, (u64, u64)>,
 }
 
 impl Revisions {
-    /// Takes in that run `life` of `daemon` has `revision` in force; gives what is wrong with that.
-    pub fn note(&mut self, daemon: &str, life: u64, revision: u64) -> Option<String> {
-        let before = self.newest.insert(daemon.to_owned(), (life, revision));
-        let (known, newest) = before.unwrap_or_default();
-        (known == life && revision < newest).then(|| format!("{daemon} went back from revision {newest} to {revision}"))
+    /// Records that `daemon`, after `restarts` restarts, has `revision` in force. Returns a violation if the same
+    /// process had a newer one before.
+    pub fn record(&mut self, daemon: &str, restarts: u64, revision: u64) -> Option<String> {
+        let before = self.last.insert(daemon.to_owned(), (restarts, revision));
+        let (known_restarts, known) = before.unwrap_or_default();
+        (known_restarts == restarts && revision < known)
+            .then(|| format!("{daemon} went back from revision {known} to {revision}"))
     }
 }
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,6 +1,6 @@
-//! Why a soak could not be run.
+//! Errors that keep a soak from running.
 
-/// What went wrong outside of the programs that are tested.
+/// A failure outside the programs under test.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The command line is wrong.
@@ -9,7 +9,7 @@
     /// The deployment did not start.
     #[error(transparent)]
     Deployment(#[from] demo::error::Error),
-    /// A file or socket of the soak itself.
+    /// A file or socket of the soak itself failed.
     #[error("{0}")]
     System(#[from] std::io::Error),
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! A randomized soak: the real programs as processes, faults from outside them, promises checked from what callers
-//! and backend servers see.
+//! Randomized fault injection: runs the real programs as processes, injects faults from outside, and checks the
+//! guarantees against what callers and backend servers saw.
 
 pub mod caller;
 pub mod check;
@@ -7,6 +7,6 @@
 pub mod plan;
 pub mod proxy;
 pub mod run;
-pub mod site;
+pub mod testbed;
 
 pub use error::{Error, Result};
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `hemlocksoak`: soaks with one seed after another.
+//! `hemlocksoak`: runs a deployment under faults, with one seed after another.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,8 +11,8 @@
 const USAGE: &str = "\
 hemlocksoak [--seed N] [--runs N] [--seconds N] [--faults N] [--callers N] [--deployment FOLDER]
 
-Runs the deployment's real programs under faults, --runs times with seeds from --seed on, and says which promises were
-not kept. Build all programs first: cargo build --workspace
+Runs the deployment's real programs under faults, --runs times with seeds from --seed on, and reports which guarantees
+were violated. Build all programs first: cargo build --workspace
 ";
 
 struct Options {
@@ -41,23 +41,24 @@
     Ok(Some(options))
 }
 
+/// Runs all seeds; returns whether every guarantee held.
 fn soak(options: &Options) -> Result<bool> {
-    let mut kept = true;
+    let mut passed = true;
     for seed in options.setup.seed..options.setup.seed + options.runs {
         let folder = std::env::temp_dir().join(format!("hemlocksoak-{seed}"));
         let report = run::run(&options.deployment, &folder, Setup { seed, ..options.setup })?;
         let counts: Vec<String> =
-            report.endings.iter().map(|(end, count)| format!("{}={count}", end.as_str())).collect();
-        println!("seed {seed}: {} faults, {}, {} broken", report.faults, counts.join(" "), report.broken.len());
-        report.broken.iter().for_each(|line| println!("  {line}"));
-        if report.broken.is_empty() {
+            report.endings.iter().map(|(ending, count)| format!("{}={count}", ending.as_str())).collect();
+        println!("seed {seed}: {} faults, {}, {} violations", report.faults, counts.join(" "), report.violations.len());
+        report.violations.iter().for_each(|line| println!("  {line}"));
+        if report.violations.is_empty() {
             std::fs::remove_dir_all(&folder)?;
         } else {
             println!("  logs: {}", folder.display());
-            kept = false;
+            passed = false;
         }
     }
-    Ok(kept)
+    Ok(passed)
 }
 
 fn main() -> ExitCode {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,150 +1,150 @@
-//! Which faults come when: a pure function of the seed.
+//! The plan of faults: what happens when, as a pure function of the seed.
 
 use std::time::Duration;
 
 use fastrand::Rng;
 
-/// Part of the time before the first fault, and after the last.
-const QUIET_PART: f64 = 0.1;
-/// Shortest time of a fault, in milliseconds.
-const SHORTEST_MS: u64 = 200;
-/// Longest time of a fault, in milliseconds.
-const LONGEST_MS: u64 = 4_000;
-/// Times that a fault comes to the same place in a row, at most.
-const SERIES: usize = 3;
+/// Fraction of the run before the first fault; as much is left free after the last one.
+const QUIET_FRACTION: f64 = 0.1;
+/// Minimum duration of a fault, in milliseconds.
+const MIN_FAULT_MS: u64 = 200;
+/// Maximum duration of a fault, in milliseconds.
+const MAX_FAULT_MS: u64 = 4_000;
+/// Maximum number of times a fault is injected in one series.
+const MAX_SERIES: usize = 3;
 
-/// What happens to a link.
+/// A fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cut {
-    /// All bytes come so much later, in milliseconds.
+pub enum LinkFault {
+    /// All bytes are delayed, in milliseconds.
     Delay(u64),
-    /// Nothing passes towards the server.
-    Up,
-    /// Nothing passes back.
-    Down,
-    /// Nothing passes at all.
-    Silent,
+    /// Bytes towards the server are held back.
+    BlockUpstream,
+    /// Bytes towards the client are held back.
+    BlockDownstream,
+    /// Bytes in both directions are held back.
+    BlockBoth,
     /// All open connections are reset.
     Reset,
-    /// Open connections carry nothing any more, for good and without an end; new ones work.
-    Forget,
+    /// Connections that are open now never carry a byte again and are never closed; new ones work.
+    Blackhole,
 }
 
-/// What happens to a process.
+/// A fault of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Blow {
-    /// It is killed, and started again at the end.
+pub enum ProcessFault {
+    /// It is killed, and started again when the fault ends.
     Kill,
-    /// It is asked to stop, and started again at the end.
+    /// It is asked to stop, and started again when the fault ends.
     Stop,
-    /// It stands still until the end.
+    /// It is suspended until the fault ends.
     Pause,
 }
 
-/// What the store does.
+/// A fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ill {
-    /// It answers nothing but errors.
+pub enum StoreFault {
+    /// It closes connections without an answer.
     Down,
-    /// It answers so late, in milliseconds.
+    /// It delays each call, in milliseconds.
     Slow(u64),
-    /// It does what it is asked and loses the answer.
-    Lost,
+    /// It carries out some calls and loses their answers.
+    LoseAnswers,
 }
 
-/// A fault at a place; places are numbers, taken modulo the number of such places.
+/// A fault and its target. Targets are numbers, taken modulo the number of targets of that kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
-    /// Of a link between daemons and a backend server or the store.
-    Link(usize, Cut),
-    /// Of the link between callers and an entry daemon.
-    Caller(usize, Cut),
-    /// Of an entry daemon.
-    Entry(usize, Blow),
-    /// Of a backend server.
-    Server(usize, Blow),
-    /// Of the store.
-    Store(Ill),
+pub enum Fault {
+    /// A fault of a link between daemons and a backend server or the store.
+    Link(usize, LinkFault),
+    /// A fault of a link between callers and an entry daemon.
+    CallerLink(usize, LinkFault),
+    /// A fault of an entry daemon.
+    Entry(usize, ProcessFault),
+    /// A fault of a backend server.
+    Backend(usize, ProcessFault),
+    /// A fault of the store.
+    Store(StoreFault),
     /// A change of the policy.
-    Change,
+    PolicyChange,
 }
 
-/// A step of the run.
+/// A step of the run: the start or the end of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// When, from the start.
+    /// When, from the start of the run.
     pub at: Duration,
     /// The fault.
-    pub trouble: Trouble,
-    /// Whether it begins; otherwise it ends.
-    pub begins: bool,
+    pub fault: Fault,
+    /// Whether the fault starts; otherwise it ends.
+    pub starts: bool,
 }
 
-/// `count` series of faults within `time`, and half as many more of links to callers and of connections that are
-/// forgotten, in order; they overlap as they fall. The further ones are drawn apart, so that a seed's first `count` stay
-/// what they were when it was found to fail.
+/// Returns `count` series of faults within `time`, and half as many series of faults of links to callers and of
+/// blackholed connections, ordered by time; they may overlap. The second group has a random generator of its own, so
+/// that the first `count` series of a seed are still those with which the seed was once found to fail.
 pub fn steps(seed: u64, count: usize, time: Duration) -> Vec<Step> {
-    let (mut rng, mut further) = (Rng::with_seed(seed), Rng::with_seed(!seed));
+    let (mut rng, mut connection_rng) = (Rng::with_seed(seed), Rng::with_seed(!seed));
     let mut steps = Vec::new();
-    (0..count).for_each(|_| series(&mut rng, trouble, time, &mut steps));
-    (0..count / 2).for_each(|_| series(&mut further, trouble_of_connections, time, &mut steps));
+    (0..count).for_each(|_| push_series(&mut rng, random_fault, time, &mut steps));
+    (0..count / 2).for_each(|_| push_series(&mut connection_rng, random_connection_fault, time, &mut steps));
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-/// One fault that comes to the same place a few times.
-fn series(rng: &mut Rng, draw: fn(&mut Rng) -> Trouble, time: Duration, steps: &mut Vec<Step>) {
-    let trouble = draw(rng);
-    let mut at = time.mul_f64(QUIET_PART + (1.0 - 3.0 * QUIET_PART) * rng.f64());
-    for _ in 0..rng.usize(1..=SERIES) {
-        let end = at + Duration::from_millis(rng.u64(SHORTEST_MS..=LONGEST_MS));
-        if end > time.mul_f64(1.0 - QUIET_PART) {
+/// Appends a series: one fault that hits the same target up to [`MAX_SERIES`] times.
+fn push_series(rng: &mut Rng, draw: fn(&mut Rng) -> Fault, time: Duration, steps: &mut Vec<Step>) {
+    let fault = draw(rng);
+    let mut at = time.mul_f64(QUIET_FRACTION + (1.0 - 3.0 * QUIET_FRACTION) * rng.f64());
+    for _ in 0..rng.usize(1..=MAX_SERIES) {
+        let end = at + Duration::from_millis(rng.u64(MIN_FAULT_MS..=MAX_FAULT_MS));
+        if end > time.mul_f64(1.0 - QUIET_FRACTION) {
             break;
         }
-        steps.push(Step { at, trouble, begins: true });
-        steps.push(Step { at: end, trouble, begins: false });
-        at = end + Duration::from_millis(rng.u64(0..=LONGEST_MS / 2));
+        steps.push(Step { at, fault, starts: true });
+        steps.push(Step { at: end, fault, starts: false });
+        at = end + Duration::from_millis(rng.u64(0..=MAX_FAULT_MS / 2));
     }
 }
 
-fn trouble_of_connections(rng: &mut Rng) -> Trouble {
-    let place = rng.usize(..1_000);
+fn random_connection_fault(rng: &mut Rng) -> Fault {
+    let target = rng.usize(..1_000);
     match rng.u8(0..4) {
-        0 => Trouble::Link(place, Cut::Forget),
-        1 => Trouble::Caller(place, Cut::Forget),
-        _ => Trouble::Caller(place, cut(rng)),
+        0 => Fault::Link(target, LinkFault::Blackhole),
+        1 => Fault::CallerLink(target, LinkFault::Blackhole),
+        _ => Fault::CallerLink(target, random_link_fault(rng)),
     }
 }
 
-fn trouble(rng: &mut Rng) -> Trouble {
-    let place = rng.usize(..1_000);
+fn random_fault(rng: &mut Rng) -> Fault {
+    let target = rng.usize(..1_000);
     match rng.u8(0..10) {
-        0..=3 => Trouble::Link(place, cut(rng)),
-        4 | 5 => Trouble::Entry(place, blow(rng)),
-        6 | 7 => Trouble::Server(place, blow(rng)),
-        8 => Trouble::Store(match rng.u8(0..3) {
-            0 => Ill::Down,
-            1 => Ill::Slow(rng.u64(50..=3_000)),
-            _ => Ill::Lost,
+        0..=3 => Fault::Link(target, random_link_fault(rng)),
+        4 | 5 => Fault::Entry(target, random_process_fault(rng)),
+        6 | 7 => Fault::Backend(target, random_process_fault(rng)),
+        8 => Fault::Store(match rng.u8(0..3) {
+            0 => StoreFault::Down,
+            1 => StoreFault::Slow(rng.u64(50..=3_000)),
+            _ => StoreFault::LoseAnswers,
         }),
-        _ => Trouble::Change,
+        _ => Fault::PolicyChange,
     }
 }
 
-fn cut(rng: &mut Rng) -> Cut {
+fn random_link_fault(rng: &mut Rng) -> LinkFault {
     match rng.u8(0..5) {
-        0 => Cut::Delay(rng.u64(5..=800)),
-        1 => Cut::Up,
-        2 => Cut::Down,
-        3 => Cut::Silent,
-        _ => Cut::Reset,
+        0 => LinkFault::Delay(rng.u64(5..=800)),
+        1 => LinkFault::BlockUpstream,
+        2 => LinkFault::BlockDownstream,
+        3 => LinkFault::BlockBoth,
+        _ => LinkFault::Reset,
     }
 }
 
-fn blow(rng: &mut Rng) -> Blow {
+fn random_process_fault(rng: &mut Rng) -> ProcessFault {
     match rng.u8(0..3) {
-        0 => Blow::Kill,
-        1 => Blow::Stop,
-        _ => Blow::Pause,
+        0 => ProcessFault::Kill,
+        1 => ProcessFault::Stop,
+        _ => ProcessFault::Pause,
     }
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,5 @@
-//! A link that can be delayed, cut one way, silenced, reset, or forget its open connections.
+//! A TCP proxy that stands for a link. It can delay bytes, hold them back in one or both directions, and reset or
+//! blackhole its open connections.
 
 use std::io::{ErrorKind, Read as _, Write as _};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -7,46 +8,46 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use crate::plan::Cut;
+use crate::plan::LinkFault;
 
-/// Time between two looks at what the link does.
-const LOOK: Duration = Duration::from_millis(20);
-/// Pause of a thread that has nothing to do.
-const PAUSE: Duration = Duration::from_millis(2);
-/// Bytes read at once.
+/// Read timeout, after which a thread checks whether its connection was reset.
+const READ_TIMEOUT: Duration = Duration::from_millis(20);
+/// Pause of a thread that waits for a new connection or for the end of a fault.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Maximum number of bytes in one read.
 const READ_BYTES: usize = 16_384;
 
-/// What a link does now.
+/// The lasting faults of a link.
 #[derive(Debug, Clone, Copy, Default)]
 struct State {
     delay: Duration,
     /// Whether bytes towards the server are held back.
-    up: bool,
-    /// Whether bytes back are held back.
-    down: bool,
+    block_upstream: bool,
+    /// Whether bytes towards the client are held back.
+    block_downstream: bool,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
     state: Mutex<State>,
-    /// Rises whenever open connections are to be reset.
+    /// Number of resets so far; each ends the connections that are open then.
     resets: AtomicU64,
-    /// Rises whenever open connections are to carry nothing any more.
-    forgets: AtomicU64,
-    /// Set when no more connections are to be taken.
-    ends: AtomicBool,
+    /// Number of blackhole faults so far; each silences the connections that are open then.
+    blackholes: AtomicU64,
+    /// Set when no more connections are to be accepted.
+    closed: AtomicBool,
 }
 
-/// What had happened to a link when a connection over it began.
+/// The numbers of resets and blackhole faults when a connection was accepted; it is affected by later ones only.
 #[derive(Debug, Clone, Copy)]
-struct Begun {
+struct Epoch {
     resets: u64,
-    forgets: u64,
+    blackholes: u64,
 }
 
-impl Begun {
-    fn now(shared: &Shared) -> Self {
-        Self { resets: shared.resets.load(Ordering::Relaxed), forgets: shared.forgets.load(Ordering::Relaxed) }
+impl Epoch {
+    fn current(shared: &Shared) -> Self {
+        Self { resets: shared.resets.load(Ordering::Relaxed), blackholes: shared.blackholes.load(Ordering::Relaxed) }
     }
 }
 
@@ -54,95 +55,96 @@
 #[derive(Debug)]
 pub struct Proxy {
     shared: Arc<Shared>,
-    taking: Option<JoinHandle<()>>,
+    acceptor: Option<JoinHandle<()>>,
 }
 
 impl Proxy {
-    /// Passes connections to `address` on to `target`.
+    /// Starts a proxy that listens at `address` and forwards connections to `target`.
     pub fn start(address: &str, target: &str) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let shared = Arc::new(Shared::default());
         listener.set_nonblocking(true)?;
-        let (seen, target) = (Arc::clone(&shared), target.to_owned());
-        let taking = thread::spawn(move || take(&seen, &listener, &target));
-        Ok(Self { shared, taking: Some(taking) })
+        let (acceptor_shared, target) = (Arc::clone(&shared), target.to_owned());
+        let acceptor = thread::spawn(move || accept_connections(&acceptor_shared, &listener, &target));
+        Ok(Self { shared, acceptor: Some(acceptor) })
     }
 
-    /// Begins a fault.
-    pub fn cut(&self, cut: Cut) {
+    /// Injects a fault; faults add up until [`Self::heal`].
+    pub fn inject(&self, fault: LinkFault) {
         let mut state = self.shared.state.lock().unwrap_or_else(PoisonError::into_inner);
-        match cut {
-            Cut::Delay(ms) => state.delay = Duration::from_millis(ms),
-            Cut::Up => state.up = true,
-            Cut::Down => state.down = true,
-            Cut::Silent => (state.up, state.down) = (true, true),
-            Cut::Reset => drop(self.shared.resets.fetch_add(1, Ordering::Relaxed)),
-            Cut::Forget => drop(self.shared.forgets.fetch_add(1, Ordering::Relaxed)),
+        match fault {
+            LinkFault::Delay(ms) => state.delay = Duration::from_millis(ms),
+            LinkFault::BlockUpstream => state.block_upstream = true,
+            LinkFault::BlockDownstream => state.block_downstream = true,
+            LinkFault::BlockBoth => (state.block_upstream, state.block_downstream) = (true, true),
+            LinkFault::Reset => drop(self.shared.resets.fetch_add(1, Ordering::Relaxed)),
+            LinkFault::Blackhole => drop(self.shared.blackholes.fetch_add(1, Ordering::Relaxed)),
         }
     }
 
-    /// Ends all faults; what was held back is passed on, but over connections that were forgotten.
+    /// Ends all faults. Bytes that were held back are passed on, except over blackholed connections, which stay silent.
     pub fn heal(&self) {
         *self.shared.state.lock().unwrap_or_else(PoisonError::into_inner) = State::default();
     }
 }
 
 impl Drop for Proxy {
-    /// Frees the address.
+    /// Resets all connections, stops accepting new ones and frees the address.
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::Relaxed);
+        self.shared.closed.store(true, Ordering::Relaxed);
         self.shared.resets.fetch_add(1, Ordering::Relaxed);
-        drop(self.taking.take().map(JoinHandle::join));
+        drop(self.acceptor.take().map(JoinHandle::join));
     }
 }
 
-/// Takes connections until the link ends.
-fn take(shared: &Arc<Shared>, listener: &TcpListener, target: &str) {
-    while !shared.ends.load(Ordering::Relaxed) {
+/// Accepts and forwards connections until the proxy is dropped.
+fn accept_connections(shared: &Arc<Shared>, listener: &TcpListener, target: &str) {
+    while !shared.closed.load(Ordering::Relaxed) {
         match listener.accept() {
-            Ok((stream, _)) => pass(shared, stream, target),
-            Err(_) => thread::sleep(PAUSE),
+            Ok((stream, _)) => forward(shared, stream, target),
+            Err(_) => thread::sleep(POLL_INTERVAL),
         }
     }
 }
 
-/// Carries one connection on two threads; the link's end resets both sides.
-fn pass(shared: &Arc<Shared>, client: TcpStream, target: &str) {
-    // Before the server sees the connection: what happens to the link from then on happens to it too.
-    let begun = Begun::now(shared);
-    // An accepted connection blocks, whatever its listener does.
+/// Forwards one connection on two threads, one for each direction.
+fn forward(shared: &Arc<Shared>, client: TcpStream, target: &str) {
+    // Read before connecting to the server, so that every fault that is injected once the server has the connection
+    // affects it.
+    let epoch = Epoch::current(shared);
+    // On some systems an accepted connection inherits the listener's non-blocking mode.
     let blocking = client.set_nonblocking(false);
     let (Ok(server), Ok(())) = (TcpStream::connect(target), blocking) else { return reset(&client) };
-    let (Ok(client_too), Ok(server_too)) = (client.try_clone(), server.try_clone()) else { return };
+    let (Ok(client_clone), Ok(server_clone)) = (client.try_clone(), server.try_clone()) else { return };
     let (up, down) = (Arc::clone(shared), Arc::clone(shared));
-    thread::spawn(move || pump(&up, client, server, begun, |state| state.up));
-    thread::spawn(move || pump(&down, server_too, client_too, begun, |state| state.down));
+    thread::spawn(move || pump(&up, client, server, epoch, |state| state.block_upstream));
+    thread::spawn(move || pump(&down, server_clone, client_clone, epoch, |state| state.block_downstream));
 }
 
-/// Carries bytes from `from` to `to` until either ends or the link is reset.
-fn pump(shared: &Shared, mut from: TcpStream, mut to: TcpStream, begun: Begun, held: impl Fn(&State) -> bool) {
+/// Copies bytes from `from` to `to` until `from` ends. Resets both sides if either fails or the link is reset.
+fn pump(shared: &Shared, mut from: TcpStream, mut to: TcpStream, epoch: Epoch, is_blocked: impl Fn(&State) -> bool) {
     let mut buffer = [0; READ_BYTES];
     let state = || *shared.state.lock().unwrap_or_else(PoisonError::into_inner);
-    let whole = || shared.resets.load(Ordering::Relaxed) == begun.resets;
-    let forgotten = || shared.forgets.load(Ordering::Relaxed) != begun.forgets;
-    if from.set_read_timeout(Some(LOOK)).is_err() {
+    let is_open = || shared.resets.load(Ordering::Relaxed) == epoch.resets;
+    let is_blackholed = || shared.blackholes.load(Ordering::Relaxed) != epoch.blackholes;
+    if from.set_read_timeout(Some(READ_TIMEOUT)).is_err() {
         return;
     }
-    while whole() {
+    while is_open() {
         let length = match from.read(&mut buffer) {
             Ok(length) => length,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(_) => break,
         };
-        let came = Instant::now();
-        while whole() && (forgotten() || held(&state()) || came.elapsed() < state().delay) {
-            thread::sleep(PAUSE);
+        let received_at = Instant::now();
+        while is_open() && (is_blackholed() || is_blocked(&state()) || received_at.elapsed() < state().delay) {
+            thread::sleep(POLL_INTERVAL);
         }
-        if !whole() {
+        if !is_open() {
             break;
         }
         if length == 0 {
-            // The end of one direction is passed on; the other may go on.
+            // Passes the end of this direction on; the other direction may continue.
             drop(to.shutdown(Shutdown::Write));
             return;
         }
@@ -154,7 +156,7 @@
     reset(&to);
 }
 
-/// Ends a connection so that its other side sees a reset.
+/// Closes a connection so that its peer sees a reset.
 fn reset(stream: &TcpStream) {
     drop(socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)));
     drop(stream.shutdown(Shutdown::Both));
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One soak: callers, faults in their order, then peace and the checks.
+//! One run: callers send requests while faults are injected, then all faults end and the guarantees are checked.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,73 +16,73 @@
 use crate::Result;
 use crate::caller::{Caller, Trace, agent};
 use crate::check::{self, Revisions};
-use crate::plan::{self, Step, Trouble};
+use crate::plan::{self, Fault, Step};
 use crate::proxy::Proxy;
-use crate::site::Site;
+use crate::testbed::Testbed;
 
-/// Longest time after the last fault until everything works again.
-const PEACE: Duration = Duration::from_mins(1);
-/// Time between two looks at revisions and readiness.
-const LOOK: Duration = Duration::from_millis(100);
+/// Timeout for all daemons to serve again after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_mins(1);
+/// Time between two checks of revisions and readiness.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How a soak goes.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
-    /// Decides faults and requests.
+    /// Seed of the plan of faults and of the requests.
     pub seed: u64,
-    /// How long faults come.
+    /// Duration of the fault injection.
     pub time: Duration,
-    /// Series of faults.
+    /// Number of series of faults; half as many series of connection faults are added.
     pub faults: usize,
-    /// Callers, each with one request at a time.
+    /// Number of callers, each with one request at a time.
     pub callers: usize,
-    /// Third number of all addresses, `127.0.net.x`.
+    /// Third octet of all addresses, `127.0.net.x`.
     pub net: u8,
 }
 
-/// What came of a soak.
+/// Result of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
-    /// Requests by how their last send ended.
+    /// Number of requests by how their last send ended.
     pub endings: BTreeMap<Ending, usize>,
-    /// Faults begun.
+    /// Number of faults in the plan.
     pub faults: usize,
-    /// Promises that were not kept.
-    pub broken: Vec<String>,
+    /// Descriptions of violated guarantees; empty if all held.
+    pub violations: Vec<String>,
 }
 
-/// Runs a soak of the deployment in `deploy`; files and logs go to `folder`.
+/// Runs the deployment in `deploy` under faults; its files and logs go to `folder`.
 pub fn run(deploy: &Path, folder: &Path, setup: Setup) -> Result<Report> {
-    let mut site = Site::start(deploy, folder, setup.net)?;
-    let entries: Vec<String> = site.caller_links.iter().map(|(_, address)| address.clone()).collect();
-    let (orders, lookups) = (path(&site.deployment, true), path(&site.deployment, false));
-    let caller = |name: String| Caller { entries: &entries, orders: &orders, lookups: &lookups, name };
+    let mut testbed = Testbed::start(deploy, folder, setup.net)?;
+    let entries: Vec<String> = testbed.caller_links.iter().map(|(_, address)| address.clone()).collect();
+    let (order_path, lookup_path) = (work_path(&testbed.deployment, true), work_path(&testbed.deployment, false));
+    let caller = |name: String| Caller { entries: &entries, order_path: &order_path, lookup_path: &lookup_path, name };
     let steps = plan::steps(setup.seed, setup.faults, setup.time);
     let (stop, trace) = (AtomicBool::new(false), Mutex::new(Trace::new()));
-    let mut broken = thread::scope(|scope| {
+    let mut violations = thread::scope(|scope| {
         for number in 0..setup.callers as u64 {
             let caller = caller(format!("{:x}-{number}", setup.seed));
             let (stop, trace) = (&stop, &trace);
             scope.spawn(move || caller.run(setup.seed ^ number, stop, trace));
         }
-        let broken = endure(&mut site, &steps, setup.time);
+        let violations = inject_faults(&mut testbed, &steps, setup.time);
         stop.store(true, Ordering::Relaxed);
-        broken
+        violations
     })?;
-    broken.extend(peace(&mut site, &caller(format!("{:x}-end", setup.seed))));
+    violations.extend(check_recovery(&mut testbed, &caller(format!("{:x}-end", setup.seed))));
     let trace = trace.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
-    broken.extend(check::broken(&trace, &site.runs()));
-    let faults = steps.iter().filter(|step| step.begins).count();
-    Ok(Report { endings: last_endings(&trace), faults, broken })
+    violations.extend(check::violations(&trace, &testbed.runs()));
+    let faults = steps.iter().filter(|step| step.starts).count();
+    Ok(Report { endings: last_endings(&trace), faults, violations })
 }
 
-/// Path and query of short work, which needs a key or needs none.
-fn path(deployment: &Deployment, keyed: bool) -> String {
+/// Returns the path and query of the first flow with short work and, as `keyed` says, with or without idempotency keys.
+fn work_path(deployment: &Deployment, keyed: bool) -> String {
     let short = |flow: &Flow| flow.keyed == keyed && !flow.path.contains("bytes=");
     deployment.flows(1.0).into_iter().find(short).map(|flow| flow.path).unwrap_or_default()
 }
 
-/// Requests by how their last send ended.
+/// Counts requests by how their last send ended.
 fn last_endings(trace: &Trace) -> BTreeMap<Ending, usize> {
     trace.values().filter_map(|endings| endings.last()).fold(BTreeMap::new(), |mut counts, ending| {
         *counts.entry(*ending).or_default() += 1;
@@ -90,89 +90,94 @@
     })
 }
 
-/// Carries the steps out in time and watches the revisions meanwhile.
-fn endure(site: &mut Site, steps: &[Step], time: Duration) -> Result<Vec<String>> {
-    let begun = Instant::now();
-    let (mut broken, mut revisions, mut next) = (Vec::new(), Revisions::default(), 0);
+/// Executes each step when it is due and checks the daemons' revisions meanwhile; returns the violations.
+fn inject_faults(testbed: &mut Testbed, steps: &[Step], time: Duration) -> Result<Vec<String>> {
+    let start = Instant::now();
+    let (mut violations, mut revisions, mut next) = (Vec::new(), Revisions::default(), 0);
     let agent = agent();
-    while begun.elapsed() < time || next < steps.len() {
-        while let Some(step) = steps.get(next).filter(|step| step.at <= begun.elapsed()) {
+    while start.elapsed() < time || next < steps.len() {
+        while let Some(step) = steps.get(next).filter(|step| step.at <= start.elapsed()) {
             next += 1;
-            broken.extend(take(site, *step, next)?);
+            violations.extend(apply_step(testbed, *step, next)?);
         }
-        broken.extend(look(site, &agent, &mut revisions));
-        thread::sleep(LOOK);
+        violations.extend(check_revisions(testbed, &agent, &mut revisions));
+        thread::sleep(POLL_INTERVAL);
     }
-    Ok(broken)
+    Ok(violations)
 }
 
-/// Begins or ends a fault; says what went wrong with a planned stop.
-fn take(site: &mut Site, step: Step, number: usize) -> Result<Option<String>> {
-    match (step.trouble, step.begins) {
-        (Trouble::Link(place, cut), true) => site.links[place % site.links.len()].cut(cut),
-        (Trouble::Link(place, _), false) => site.links[place % site.links.len()].heal(),
-        (Trouble::Caller(place, cut), true) => site.caller_links[place % site.caller_links.len()].0.cut(cut),
-        (Trouble::Caller(place, _), false) => site.caller_links[place % site.caller_links.len()].0.heal(),
-        (Trouble::Store(ill), begins) => site.sicken(begins.then_some(ill)),
-        (Trouble::Change, true) => change(site, number),
-        (Trouble::Change, false) => {}
-        (Trouble::Entry(place, blow), true) => site.strike(&site.instance(Role::Entry, place), blow),
-        (Trouble::Server(place, blow), true) => site.strike(&site.instance(Role::Backend, place), blow),
-        (Trouble::Entry(place, _), false) => return site.restore(&site.instance(Role::Entry, place)),
-        (Trouble::Server(place, _), false) => return site.restore(&site.instance(Role::Backend, place)),
+/// Starts or ends a fault; returns a violation if a daemon failed a planned stop.
+fn apply_step(testbed: &mut Testbed, step: Step, number: usize) -> Result<Option<String>> {
+    match (step.fault, step.starts) {
+        (Fault::Link(target, fault), true) => testbed.links[target % testbed.links.len()].inject(fault),
+        (Fault::Link(target, _), false) => testbed.links[target % testbed.links.len()].heal(),
+        (Fault::CallerLink(target, fault), true) => {
+            testbed.caller_links[target % testbed.caller_links.len()].0.inject(fault);
+        }
+        (Fault::CallerLink(target, _), false) => testbed.caller_links[target % testbed.caller_links.len()].0.heal(),
+        (Fault::Store(fault), starts) => testbed.set_store_fault(starts.then_some(fault)),
+        (Fault::PolicyChange, true) => change_policy(testbed, number),
+        (Fault::PolicyChange, false) => {}
+        (Fault::Entry(target, fault), true) => testbed.inject(&testbed.instance(Role::Entry, target), fault),
+        (Fault::Backend(target, fault), true) => testbed.inject(&testbed.instance(Role::Backend, target), fault),
+        (Fault::Entry(target, _), false) => return testbed.restore(&testbed.instance(Role::Entry, target)),
+        (Fault::Backend(target, _), false) => return testbed.restore(&testbed.instance(Role::Backend, target)),
     }
     Ok(None)
 }
 
-/// Changes a deadline in the policy, if the store takes it.
-fn change(site: &Site, number: usize) {
-    let Ok(store) = store::Client::new(&site.deployment.store, Duration::from_secs(1)) else { return };
+/// Raises the deadline of each class in the policy by one millisecond, if the store accepts the change.
+fn change_policy(testbed: &Testbed, number: usize) {
+    let Ok(store) = store::Client::new(&testbed.deployment.store, Duration::from_secs(1)) else { return };
     let edit = |policy: &mut Policy| {
         policy.classes.values_mut().for_each(|class| class.deadline_ms += 1);
         Ok(())
     };
-    // Whether it took effect does not matter: what counts is that no daemon goes back from it.
+    // The outcome does not matter: the check is that no daemon goes back to an older revision.
     drop(ctl::change::edit(&store, &format!("soak-{number}"), edit));
 }
 
-/// Looks at the revision of each daemon that answers.
-fn look(site: &Site, agent: &ureq::Agent, revisions: &mut Revisions) -> Vec<String> {
-    let see = |entry: &base::instance::Instance| {
+/// Records the revision of each daemon that answers; returns a violation for each that went back.
+fn check_revisions(testbed: &Testbed, agent: &ureq::Agent, revisions: &mut Revisions) -> Vec<String> {
+    let check = |entry: &base::instance::Instance| {
         let url = format!("http://{}/decisions", entry.operators);
         let state: serde_json::Value = ctl::fleet::get(agent, &url).ok()?;
-        let life = site.lives.get(&entry.name).copied().unwrap_or_default();
-        revisions.note(&entry.name, life, state["revision"].as_u64()?)
+        let restarts = testbed.restarts.get(&entry.name).copied().unwrap_or_default();
+        revisions.record(&entry.name, restarts, state["revision"].as_u64()?)
     };
-    // A daemon that stands still would hold the run up; it is looked at again when it goes on.
-    let running = site.deployment.entries().filter(|entry| !site.paused(&entry.name));
-    running.filter_map(see).collect()
+    // A suspended daemon would delay the run until the timeout; it is checked again once it is resumed.
+    let running = testbed.deployment.entries().filter(|entry| !testbed.is_paused(&entry.name));
+    running.filter_map(check).collect()
 }
 
-/// Ends all faults and waits until every daemon serves again, at one revision.
-fn peace(site: &mut Site, caller: &Caller<'_>) -> Vec<String> {
-    site.links.iter().chain(site.caller_links.iter().map(|(link, _)| link)).for_each(Proxy::heal);
-    site.sicken(None);
-    change(site, usize::MAX);
-    let begun = Instant::now();
+/// Ends all faults of links and the store, changes the policy, and waits until every daemon serves orders and lookups
+/// and has the store's revision in force; returns a violation for each that does not.
+fn check_recovery(testbed: &mut Testbed, caller: &Caller<'_>) -> Vec<String> {
+    testbed.links.iter().chain(testbed.caller_links.iter().map(|(link, _)| link)).for_each(Proxy::heal);
+    testbed.set_store_fault(None);
+    change_policy(testbed, usize::MAX);
+    let start = Instant::now();
     let mut missing = caller.entries.to_vec();
     let mut round = 0;
-    while !missing.is_empty() && begun.elapsed() < PEACE {
+    while !missing.is_empty() && start.elapsed() < RECOVERY_TIMEOUT {
         round += 1;
         let agent = agent();
-        let serves = |entry: &String, order: bool| {
-            caller.send(&agent, entry, order, &format!("{}-{entry}-{round}", caller.name)) == Ending::Complete
+        let serves = |entry: &String, is_order: bool| {
+            caller.send(&agent, entry, is_order, &format!("{}-{entry}-{round}", caller.name)) == Ending::Complete
         };
         missing.retain(|entry| !(serves(entry, true) && serves(entry, false)));
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    let mut broken: Vec<String> =
-        missing.iter().map(|entry| format!("{entry} does not serve after all faults")).collect();
-    let store = store::Client::new(&site.deployment.store, Duration::from_secs(5));
+    let mut violations: Vec<String> =
+        missing.iter().map(|entry| format!("{entry} does not serve requests after all faults ended")).collect();
+    let store = store::Client::new(&testbed.deployment.store, Duration::from_secs(5));
     match store.map(|store| ctl::change::read(&store)) {
         Ok(Ok((_, revision))) => {
-            broken.extend(site.deployment.wait_ready(revision).err().map(|error| format!("at the end: {error}")));
+            violations.extend(
+                testbed.deployment.wait_ready(revision).err().map(|error| format!("after all faults ended: {error}")),
+            );
         }
-        other => broken.push(format!("the store does not answer after all faults: {other:?}")),
+        other => violations.push(format!("the store does not answer after all faults ended: {other:?}")),
     }
-    broken
+    violations
 }
