--- a/crates/demo/src/bin/hemlockspread.rs
+++ b/crates/demo/src/bin/hemlockspread.rs
@@ -1,4 +1,4 @@
-//! `hemlockspread`: how long a change of the policy takes to be in force in every daemon.
+//! `hemlockspread`: measures how long a policy change takes to come into force in every daemon.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,7 +17,7 @@
 
 /// Delay of each call to a slow store, in milliseconds; below the daemons' timeout for one call.
 const SLOW_MS: u64 = 800;
-/// Pause before a change, so that changes do not meet.
+/// Pause before each change, so that changes do not overlap.
 const PAUSE: Duration = Duration::from_millis(700);
 
 fn parse() -> std::result::Result<Option<(PathBuf, u64)>, lexopt::Error> {
@@ -34,10 +34,11 @@
     Ok(Some((folder, changes)))
 }
 
-/// Changes the policy; gives the time from the store's acknowledgement to the last daemon, in milliseconds.
-fn change(deployment: &Deployment, number: u64) -> Result<f64> {
+/// Changes the policy. Returns the time from the store's acknowledgement until the last daemon has it in force, in
+/// milliseconds.
+fn measure_change(deployment: &Deployment, number: u64) -> Result<f64> {
     std::thread::sleep(PAUSE);
-    let store = store::Client::new(&deployment.store, Duration::from_secs(10));
+    let store = store::Client::new(&deployment.store_address, Duration::from_secs(10));
     let store = store.map_err(|error| Error::Start(error.to_string()))?;
     let done = ctl::change::edit(&store, &format!("spread-{number}"), |policy| {
         let class = policy.classes.values_mut().next();
@@ -50,24 +51,25 @@
     Ok(start.elapsed().as_secs_f64() * 1_000.0)
 }
 
-fn set_store(deployment: &Deployment, slow_ms: u64) -> Result<()> {
-    let sent = ureq::post(format!("http://{}/fault", deployment.store)).send(format!("{{\"slow_ms\":{slow_ms}}}"));
-    sent.map(|_answer| ()).map_err(|error| Error::Start(error.to_string()))
+fn set_store_delay(deployment: &Deployment, slow_ms: u64) -> Result<()> {
+    let result =
+        ureq::post(format!("http://{}/fault", deployment.store_address)).send(format!("{{\"slow_ms\":{slow_ms}}}"));
+    result.map(|_answer| ()).map_err(|error| Error::Start(error.to_string()))
 }
 
 fn run(folder: &std::path::Path, changes: u64) -> Result<()> {
     let mut deployment = Deployment::read(folder, &PathBuf::from("target/demo-logs"))?;
     deployment.start_platform()?;
-    let revision = deployment.apply()?;
+    let revision = deployment.apply_policy()?;
     deployment.start_daemons()?;
     deployment.wait_ready(revision)?;
     let mut number = 0;
     for (name, slow_ms) in [("healthy", 0), ("store slow", SLOW_MS), ("healthy again", 0)] {
-        set_store(&deployment, slow_ms)?;
+        set_store_delay(&deployment, slow_ms)?;
         let mut times = Vec::new();
         for _ in 0..changes {
             number += 1;
-            times.push(change(&deployment, number)?);
+            times.push(measure_change(&deployment, number)?);
         }
         times.sort_by(f64::total_cmp);
         let median = times[times.len() / 2];
--- a/crates/demo/src/deployment.rs
+++ b/crates/demo/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment from its folder: `instances.json`, `policy.toml` and the settings of each daemon.
+//! A deployment read from its folder: `instances.json`, `policy.toml` and the settings of each daemon.
 
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
@@ -13,24 +13,24 @@
 use crate::children::Children;
 use crate::error::{Error, Result};
 
-/// Longest time for the daemons to become ready.
-const READY: Duration = Duration::from_mins(1);
-/// Time between two looks at their readiness.
-const LOOK: Duration = Duration::from_millis(50);
+/// Timeout for the stand-ins to listen, for the store to accept the policy, and for the daemons to become ready.
+const READY_TIMEOUT: Duration = Duration::from_mins(1);
+/// Time between two checks of these.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A deployment on one machine.
 #[derive(Debug)]
 pub struct Deployment {
-    /// The processes.
+    /// The running processes.
     pub children: Children,
-    /// Instances.
+    /// All instances: backend servers and daemons.
     pub instances: Vec<Instance>,
-    /// The policy to start with.
+    /// The initial policy.
     pub policy: Policy,
-    /// The store, `IP:PORT`.
-    pub store: String,
-    /// The list, `IP:PORT`.
-    pub list: String,
+    /// Address of the store, `IP:PORT`.
+    pub store_address: String,
+    /// Address of the list of instances, `IP:PORT`.
+    pub list_address: String,
     folder: PathBuf,
     logs: PathBuf,
 }
@@ -39,32 +39,33 @@
     /// Reads the deployment in `folder`; logs go to `logs`.
     pub fn read(folder: &Path, logs: &Path) -> Result<Self> {
         let path = folder.join("instances.json");
-        let wrong = |reason: String| Error::File { path: path.clone(), reason };
-        let text = std::fs::read(&path).map_err(|error| wrong(error.to_string()))?;
-        let instances: Vec<Instance> = serde_json::from_slice(&text).map_err(|error| wrong(error.to_string()))?;
+        let invalid = |reason: String| Error::File { path: path.clone(), reason };
+        let text = std::fs::read(&path).map_err(|error| invalid(error.to_string()))?;
+        let instances: Vec<Instance> = serde_json::from_slice(&text).map_err(|error| invalid(error.to_string()))?;
         let policy = Policy::read(&folder.join("policy.toml")).map_err(|error| Error::Start(error.to_string()))?;
         std::fs::create_dir_all(logs).map_err(|error| Error::Start(error.to_string()))?;
-        let first = instances.iter().find(|instance| instance.role == Role::Entry);
-        let first = first.ok_or_else(|| wrong("names no entry instance".to_owned()))?;
-        let settings = Settings::read(&folder.join(format!("{}.toml", first.name)));
+        let entry = instances.iter().find(|instance| instance.role == Role::Entry);
+        let entry = entry.ok_or_else(|| invalid("lists no entry instance".to_owned()))?;
+        let settings = Settings::read(&folder.join(format!("{}.toml", entry.name)));
         let settings = settings.map_err(|error| Error::Start(error.to_string()))?;
         Ok(Self {
-            children: Children::beside_this()?,
+            children: Children::from_current_exe()?,
             instances,
             policy,
-            store: settings.platform.address,
-            list: settings.list.address,
+            store_address: settings.platform.address,
+            list_address: settings.list.address,
             folder: folder.to_owned(),
             logs: logs.to_owned(),
         })
     }
 
-    /// Starts the platform's stand-ins and all backend servers.
+    /// Starts the stand-ins for the platform and all backend servers, and waits until they listen.
     pub fn start_platform(&mut self) -> Result<()> {
         self.start_store()?;
         let instances = self.folder.join("instances.json");
-        let list = ["--address", &self.list, "--instances", &instances.to_string_lossy(), "--lag-ms", "1000"];
-        self.children.start("list", "fakelist", &list, None)?;
+        let arguments =
+            ["--address", &self.list_address, "--instances", &instances.to_string_lossy(), "--lag-ms", "1000"];
+        self.children.start("list", "fakelist", &arguments, None)?;
         for instance in self.instances.clone() {
             if instance.role == Role::Backend {
                 self.start_backend(&instance)?;
@@ -72,12 +73,12 @@
         }
         let backends = self.instances.iter().filter(|instance| instance.role == Role::Backend);
         let addresses = backends.map(|backend| &backend.address);
-        addresses.chain([&self.store, &self.list]).try_for_each(|address| wait_listening(address))
+        addresses.chain([&self.store_address, &self.list_address]).try_for_each(|address| wait_listening(address))
     }
 
     /// Starts the store.
     pub fn start_store(&mut self) -> Result<()> {
-        self.children.start("store", "fakestore", &["--address", &self.store], None)
+        self.children.start("store", "fakestore", &["--address", &self.store_address], None)
     }
 
     /// Starts one backend server.
@@ -102,14 +103,15 @@
         Ok(())
     }
 
-    /// Entry instances.
+    /// Returns the entry instances.
     pub fn entries(&self) -> impl Iterator<Item = &Instance> {
         self.instances.iter().filter(|instance| instance.role == Role::Entry)
     }
 
-    /// Puts the policy into the store.
-    pub fn apply(&self) -> Result<u64> {
-        let store = store::Client::new(&self.store, Duration::from_secs(5));
+    /// Writes the initial policy to the store, retrying while the store fails. Returns its revision, or that of the
+    /// policy that the store already holds.
+    pub fn apply_policy(&self) -> Result<u64> {
+        let store = store::Client::new(&self.store_address, Duration::from_secs(5));
         let store = store.map_err(|error| Error::Start(error.to_string()))?;
         let start = Instant::now();
         loop {
@@ -117,31 +119,33 @@
             match ctl::change::replace(&store, &id, self.policy.clone(), 0) {
                 Ok(done) => return Ok(done.revision()),
                 Err(ctl::Error::Conflict { found, .. }) => return Ok(found),
-                Err(error) if start.elapsed() > READY => return Err(Error::Start(error.to_string())),
-                Err(_) => thread::sleep(LOOK),
+                Err(error) if start.elapsed() > READY_TIMEOUT => return Err(Error::Start(error.to_string())),
+                Err(_) => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    /// Waits until every daemon is ready at `revision` or later.
+    /// Waits until every daemon is ready and has `revision` or a later one in force.
     pub fn wait_ready(&self, revision: u64) -> Result<()> {
         let agent = ctl::fleet::agent();
         let start = Instant::now();
         loop {
-            let missing = self.entries().find(|entry| !ready(&agent, entry, revision));
+            let missing = self.entries().find(|entry| !is_ready(&agent, entry, revision));
             let Some(missing) = missing else { return Ok(()) };
-            if start.elapsed() > READY {
+            if start.elapsed() > READY_TIMEOUT {
                 return Err(Error::Start(format!("{} is not ready; see its log", missing.name)));
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// One flow for each class: its first path, and `per_second` requests in all.
+    /// Returns one flow for each class, to its first path. A class that may wait sends 2 % of `per_second`, any other
+    /// idempotent class 90 %, and the rest 4 % each. With the classes of the checked-in deployments, this is
+    /// `per_second` in all.
     pub fn flows(&self, per_second: f64) -> Vec<Flow> {
         let flow = |(name, class): (&String, &config::policy::Class)| {
             let waits = class.may_wait;
-            let part = if waits {
+            let fraction = if waits {
                 0.02
             } else if class.idempotent {
                 0.9
@@ -153,7 +157,7 @@
                 name: name.clone(),
                 method: if class.idempotent { "GET" } else { "POST" }.to_owned(),
                 path: format!("{}{query}", class.paths[0]),
-                per_second: per_second * part,
+                per_second: per_second * fraction,
                 keyed: !class.idempotent,
                 body_bytes: if class.idempotent { 0 } else { 300 },
             }
@@ -162,24 +166,24 @@
     }
 }
 
-/// Waits until somebody listens at `address`.
+/// Waits until something listens at `address`.
 fn wait_listening(address: &str) -> Result<()> {
     let start = Instant::now();
     while let Err(error) = TcpStream::connect(address) {
-        if start.elapsed() > READY {
-            return Err(Error::Start(format!("nobody listens at {address}: {error}")));
+        if start.elapsed() > READY_TIMEOUT {
+            return Err(Error::Start(format!("nothing listens at {address}: {error}")));
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// Whether the daemon `entry` is ready at `revision` or later.
-fn ready(agent: &ureq::Agent, entry: &Instance, revision: u64) -> bool {
+/// Whether the daemon `entry` is ready and has `revision` or a later one in force.
+fn is_ready(agent: &ureq::Agent, entry: &Instance, revision: u64) -> bool {
     let url = format!("http://{}/decisions", entry.operators);
     let Ok(state) = ctl::fleet::get::<serde_json::Value>(agent, &url) else {
         return false;
     };
-    let at = state["revision"].as_u64().unwrap_or(0);
-    state["ready"]["ready"].as_bool().unwrap_or(false) && at >= revision
+    let in_force = state["revision"].as_u64().unwrap_or(0);
+    state["ready"]["ready"].as_bool().unwrap_or(false) && in_force >= revision
 }
--- a/crates/demo/src/error.rs
+++ b/crates/demo/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a deployment on one machine.
+//! Errors of starting a deployment on one machine.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
     /// The command line is wrong.
     #[error("{0}")]
     Usage(#[from] lexopt::Error),
-    /// A file of the deployment could not be read.
+    /// A file of the deployment cannot be read or is invalid.
     #[error("{path}: {reason}")]
     File {
         /// The file.
@@ -21,10 +21,10 @@
     Program {
         /// The program.
         program: String,
-        /// The system's reason.
+        /// The operating system's error.
         reason: String,
     },
-    /// The deployment did not come up.
+    /// The deployment or one of its processes could not be started or signalled.
     #[error("{0}")]
     Start(String),
 }
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on one machine: stand-ins, daemons, load.
+//! Runs a whole deployment on one machine: stand-ins for the platform, backend servers, and daemons.
 
 pub mod children;
 pub mod deployment;
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,4 +1,4 @@
-//! `hemlockdemo`: a deployment on loopback under load, until stopped.
+//! `hemlockdemo`: runs a deployment on loopback under load until it is stopped.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,8 +19,8 @@
 until stopped (or for --seconds).
 ";
 
-/// Length of one printed part of the load.
-const PART: Duration = Duration::from_secs(5);
+/// Length of the intervals whose results are printed.
+const INTERVAL: Duration = Duration::from_secs(5);
 
 struct Options {
     folder: PathBuf,
@@ -43,36 +43,40 @@
     Ok(Some(options))
 }
 
+/// Runs the deployment and prints the results of each interval.
 fn show(options: &Options) -> Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
-        let set = signal_hook::flag::register(signal, Arc::clone(&stop));
-        set.map_err(|error| Error::Start(error.to_string()))?;
+        let registered = signal_hook::flag::register(signal, Arc::clone(&stop));
+        registered.map_err(|error| Error::Start(error.to_string()))?;
     }
     let mut deployment = Deployment::read(&options.folder, &PathBuf::from("target/demo-logs"))?;
     println!("demo: starting {} instances of {}", deployment.instances.len(), options.folder.display());
     deployment.start_platform()?;
-    let revision = deployment.apply()?;
+    let revision = deployment.apply_policy()?;
     deployment.start_daemons()?;
     deployment.wait_ready(revision)?;
     println!("demo: all daemons ready at revision {revision}; logs in target/demo-logs");
-    println!("demo: try  target/release/hemlockctl --store {} --list {} show", deployment.store, deployment.list);
+    println!(
+        "demo: try  target/release/hemlockctl --store {} --list {} show",
+        deployment.store_address, deployment.list_address
+    );
     let mut plan = Plan {
         entries: deployment.entries().map(|entry| entry.address.clone()).collect(),
         flows: deployment.flows(options.per_second),
-        time: PART,
+        time: INTERVAL,
         callers: 64,
         timeout: Duration::from_secs(30),
         resends: 2,
         seed: 1,
     };
-    let parts = options.seconds.map_or(u64::MAX, |seconds| seconds.div_ceil(PART.as_secs()));
-    for part in 1..=parts {
+    let intervals = options.seconds.map_or(u64::MAX, |seconds| seconds.div_ceil(INTERVAL.as_secs()));
+    for interval in 1..=intervals {
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        plan.seed = part;
-        println!("\npart {part}, {} s:\n{}", PART.as_secs(), tally::table(&run::run(&plan, &stop)));
+        plan.seed = interval;
+        println!("\ninterval {interval}, {} s:\n{}", INTERVAL.as_secs(), tally::table(&run::run(&plan, &stop)));
     }
     Ok(())
 }
--- a/crates/demo/tests/common/mod.rs
+++ b/crates/demo/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment of its own for each test, on loopback addresses of its own.
+//! Starts a separate deployment for each test, on separate loopback addresses.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeMap;
@@ -14,31 +14,32 @@
 use load::tally::Tally;
 use serde_json::Value;
 
-/// Longest wait for something that must come; no verdict depends on how long it took.
-pub const PATIENCE: Duration = Duration::from_secs(90);
+/// Timeout for events that must happen; no assertion depends on how long they took.
+pub const TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Deployments run one after the other: each is some forty processes.
-static TURN: Mutex<()> = Mutex::new(());
+/// Held while a deployment runs: each has about forty processes, so that only one runs at a time.
+static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
-pub struct Site {
+/// A running deployment and a client for it.
+pub struct Testbed {
     pub deployment: Deployment,
     pub revision: u64,
     pub agent: ureq::Agent,
-    _turn: MutexGuard<'static, ()>,
+    _exclusive: MutexGuard<'static, ()>,
 }
 
-impl Site {
-    /// Starts the deployment `name` on `127.0.net.x`, with answers kept for a second.
+impl Testbed {
+    /// Starts the deployment `name` on addresses `127.0.net.x`.
     pub fn start(name: &str, net: u8) -> Self {
-        let turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-        let folder = copy(name, net);
+        let exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
+        let folder = copy_deployment(name, net);
         let logs = folder.join("logs");
-        let mut deployment = Deployment::read(&folder, &logs).expect("the deployment is good");
+        let mut deployment = Deployment::read(&folder, &logs).expect("the deployment is valid");
         deployment.start_platform().expect("the stand-ins start");
-        let revision = deployment.apply().expect("the policy is taken");
+        let revision = deployment.apply_policy().expect("the store accepts the policy");
         deployment.start_daemons().expect("the daemons start");
-        deployment.wait_ready(revision).expect("the daemons get ready");
-        Self { deployment, revision, agent: agent(), _turn: turn }
+        deployment.wait_ready(revision).expect("the daemons become ready");
+        Self { deployment, revision, agent: agent(), _exclusive: exclusive }
     }
 
     pub fn entry(&self, index: usize) -> Instance {
@@ -46,8 +47,8 @@
     }
 
     pub fn backends(&self) -> Vec<Instance> {
-        let all = self.deployment.instances.iter();
-        all.filter(|instance| instance.role == Role::Backend).cloned().collect()
+        let instances = self.deployment.instances.iter();
+        instances.filter(|instance| instance.role == Role::Backend).cloned().collect()
     }
 
     pub fn plan(&self, flows: Vec<Flow>, seconds: u64, callers: usize) -> Plan {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Sends a plan while `meanwhile` does something.
+    /// Sends the requests of `plan` while `meanwhile` acts on the deployment; returns the tally of each flow.
     pub fn load<F>(&mut self, plan: &Plan, meanwhile: F) -> BTreeMap<String, Tally>
     where
         F: FnOnce(&mut Deployment),
@@ -79,25 +80,26 @@
         ctl::fleet::get(&self.agent, &format!("http://{}/decisions", entry.operators)).ok()
     }
 
-    /// How often each key was run, over all backend servers that live.
+    /// Returns how often each key was run, by all backend servers that are still running.
     pub fn runs(&self) -> BTreeMap<String, u64> {
-        let mut sum = BTreeMap::new();
+        let mut total = BTreeMap::new();
         for backend in self.backends() {
             let url = format!("http://{}/runs", backend.address);
             let runs: BTreeMap<String, u64> = ctl::fleet::get(&self.agent, &url).unwrap_or_default();
             for (key, count) in runs {
-                *sum.entry(key).or_default() += count;
+                *total.entry(key).or_default() += count;
             }
         }
-        sum
+        total
     }
 
-    pub fn fault(&self, address: &str, json: &str) {
-        let sent = self.agent.post(format!("http://{address}/fault")).send(json);
-        assert!(sent.is_ok_and(|response| response.status() == 200), "the fault is taken");
+    /// Replaces the faults of the stand-in at `address`.
+    pub fn set_faults(&self, address: &str, json: &str) {
+        let result = self.agent.post(format!("http://{address}/fault")).send(json);
+        assert!(result.is_ok_and(|response| response.status() == 200), "the stand-in accepts the faults");
     }
 
-    /// Sends one request; gives the status, the outcome header and the body.
+    /// Sends one request; returns the status, the outcome header and the body.
     pub fn send(
         &self,
         address: &str,
@@ -110,7 +112,7 @@
         if let Some(key) = key {
             builder = builder.header("idempotency-key", key);
         }
-        let request = builder.body(Vec::new()).expect("the request is good");
+        let request = builder.body(Vec::new()).expect("the request is valid");
         let mut response = self.agent.run(request).map_err(|error| error.to_string())?;
         let outcome =
             response.headers().get("x-outcome").and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
@@ -119,11 +121,11 @@
     }
 }
 
-/// Waits until `holds`.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until `condition` holds; `what` names it in the error.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain until {what}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -143,8 +145,9 @@
     config.into()
 }
 
-/// Copies a checked-in deployment to addresses of its own.
-fn copy(name: &str, net: u8) -> PathBuf {
+/// Copies a checked-in deployment. The copy uses addresses `127.0.net.x` and shorter times: callers may keep the answer
+/// to a look-up for one second, and a planned stop waits two seconds for callers that still use such an answer.
+fn copy_deployment(name: &str, net: u8) -> PathBuf {
     let from = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name);
     let to = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{net}"));
     std::fs::create_dir_all(&to).expect("the folder can be made");
--- a/crates/demo/tests/processes.rs
+++ b/crates/demo/tests/processes.rs
@@ -1,10 +1,10 @@
-//! What only real processes and sockets show: kills, freezes and planned stops under load.
+//! Tests that need real processes and sockets: killed, suspended and stopped processes under load.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{PATIENCE, Site, flow, until};
+use common::{TIMEOUT, Testbed, flow, wait_until};
 use load::answer::Ending;
 use rstest::rstest;
 
@@ -12,11 +12,11 @@
 #[case("bayline", 31)]
 #[case("onfot", 32)]
 fn every_class_comes_back_whole(#[case] name: &str, #[case] net: u8) {
-    let mut site = Site::start(name, net);
-    let mut flows = site.deployment.flows(100.0);
+    let mut testbed = Testbed::start(name, net);
+    let mut flows = testbed.deployment.flows(100.0);
     flows.iter_mut().for_each(|flow| flow.per_second = flow.per_second.max(5.0));
-    let plan = site.plan(flows, 3, 32);
-    let tallies = site.load(&plan, |_| {});
+    let plan = testbed.plan(flows, 3, 32);
+    let tallies = testbed.load(&plan, |_| {});
     assert_eq!(tallies.len(), 4);
     for (name, tally) in tallies {
         let all: u64 = Ending::ALL.iter().map(|ending| tally.count(*ending)).sum();
@@ -27,10 +27,10 @@
 
 #[test]
 fn lookups_go_on_when_an_entry_a_backend_and_the_store_die() {
-    let mut site = Site::start("bayline", 33);
-    let plan = site.plan(vec![flow("lookup", "GET", "/stock?work_ms=10", 100.0)], 9, 32);
-    let (entry, backend) = (site.entry(0).name, site.backends()[0].name.clone());
-    let tallies = site.load(&plan, |deployment| {
+    let mut testbed = Testbed::start("bayline", 33);
+    let plan = testbed.plan(vec![flow("lookup", "GET", "/stock?work_ms=10", 100.0)], 9, 32);
+    let (entry, backend) = (testbed.entry(0).name, testbed.backends()[0].name.clone());
+    let tallies = testbed.load(&plan, |deployment| {
         for victim in [entry.as_str(), backend.as_str(), "store"] {
             std::thread::sleep(Duration::from_secs(2));
             deployment.children.kill(victim);
@@ -42,26 +42,26 @@
 }
 
 #[rstest]
-#[case::told_once(34, 1)]
-#[case::told_again(42, 3)]
-fn a_planned_stop_cuts_no_request(#[case] net: u8, #[case] times: u32) {
-    let mut site = Site::start("bayline", net);
+#[case::asked_to_stop_once(34, 1)]
+#[case::asked_to_stop_three_times(42, 3)]
+fn a_planned_stop_cuts_no_request(#[case] net: u8, #[case] signals: u32) {
+    let mut testbed = Testbed::start("bayline", net);
     let flows = vec![
         flow("lookup", "GET", "/stock?work_ms=20", 150.0),
         flow("order", "POST", "/orders?work_ms=100", 20.0),
         flow("catalogue", "GET", "/catalogue?work_ms=3500&bytes=100000", 4.0),
     ];
-    let mut plan = site.plan(flows, 10, 48);
+    let mut plan = testbed.plan(flows, 10, 48);
     plan.resends = 0;
-    let leaver = site.entry(3).name;
-    let tallies = site.load(&plan, |deployment| {
+    let stopped = testbed.entry(3).name;
+    let tallies = testbed.load(&plan, |deployment| {
         std::thread::sleep(Duration::from_secs(3));
-        for _ in 0..times {
-            deployment.children.signal(&leaver, "TERM").expect("the daemon runs");
+        for _ in 0..signals {
+            deployment.children.signal(&stopped, "TERM").expect("the daemon runs");
             std::thread::sleep(Duration::from_millis(400));
         }
-        let code = deployment.children.wait(&leaver, PATIENCE);
-        assert_eq!(code, Some(0), "the daemon ends by itself");
+        let code = deployment.children.wait(&stopped, TIMEOUT);
+        assert_eq!(code, Some(0), "the daemon exits by itself, with success");
     });
     for (name, tally) in tallies {
         assert_eq!(tally.endings.keys().collect::<Vec<_>>(), [&Ending::Complete], "{name}: {:?}", tally.endings);
@@ -70,10 +70,10 @@
 
 #[test]
 fn no_order_runs_twice_while_entries_are_killed_and_frozen() {
-    let mut site = Site::start("bayline", 35);
-    let plan = site.plan(vec![flow("order", "POST", "/orders?work_ms=150", 60.0)], 10, 48);
-    let (killed, frozen) = (site.entry(1).name, site.entry(4).name);
-    site.load(&plan, |deployment| {
+    let mut testbed = Testbed::start("bayline", 35);
+    let plan = testbed.plan(vec![flow("order", "POST", "/orders?work_ms=150", 60.0)], 10, 48);
+    let (killed, frozen) = (testbed.entry(1).name, testbed.entry(4).name);
+    testbed.load(&plan, |deployment| {
         std::thread::sleep(Duration::from_secs(2));
         deployment.children.kill(&killed);
         std::thread::sleep(Duration::from_secs(2));
@@ -81,7 +81,7 @@
         std::thread::sleep(Duration::from_secs(3));
         deployment.children.signal(&frozen, "CONT").expect("the daemon runs");
     });
-    let runs = site.runs();
+    let runs = testbed.runs();
     assert!(runs.len() > 100, "only {} orders ran", runs.len());
     let twice: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
     assert!(twice.is_empty(), "ran twice: {twice:?}");
@@ -89,121 +89,129 @@
 
 #[test]
 fn an_order_is_answered_again_at_another_entry_and_not_run_without_the_store() {
-    let site = Site::start("onfot", 36);
-    let (here, there) = (site.entry(0).address, site.entry(6).address);
-    let first = site.send(&here, "POST", "/bales?work_ms=10", Some("k1")).expect("an answer comes");
+    let testbed = Testbed::start("onfot", 36);
+    let (here, there) = (testbed.entry(0).address, testbed.entry(6).address);
+    let first = testbed.send(&here, "POST", "/bales?work_ms=10", Some("k1")).expect("an answer comes");
     assert_eq!((first.0, first.1.as_str()), (200, "complete"));
-    let again = site.send(&there, "POST", "/bales?work_ms=10", Some("k1")).expect("an answer comes");
-    assert_eq!(again, first, "the same whole answer");
-    let other = site.send(&there, "POST", "/bales?work_ms=11", Some("k1")).expect("an answer comes");
-    assert_eq!((other.0, other.1.as_str()), (422, "not-run"));
-    let keyless = site.send(&here, "POST", "/bales?work_ms=10", None).expect("an answer comes");
+    let resent = testbed.send(&there, "POST", "/bales?work_ms=10", Some("k1")).expect("an answer comes");
+    assert_eq!(resent, first, "the stored answer of the first run");
+    let changed = testbed.send(&there, "POST", "/bales?work_ms=11", Some("k1")).expect("an answer comes");
+    assert_eq!((changed.0, changed.1.as_str()), (422, "not-run"));
+    let keyless = testbed.send(&here, "POST", "/bales?work_ms=10", None).expect("an answer comes");
     assert_eq!((keyless.0, keyless.1.as_str()), (428, "not-run"));
-    site.fault(&site.deployment.store, "{\"down\":true}");
-    let refused = site.send(&here, "POST", "/bales?work_ms=10", Some("k2")).expect("an answer comes");
+    testbed.set_faults(&testbed.deployment.store_address, "{\"down\":true}");
+    let refused = testbed.send(&here, "POST", "/bales?work_ms=10", Some("k2")).expect("an answer comes");
     assert_eq!((refused.0, refused.1.as_str()), (503, "not-run"));
-    let lookup = site.send(&here, "GET", "/stock?work_ms=10", None).expect("an answer comes");
+    let lookup = testbed.send(&here, "GET", "/stock?work_ms=10", None).expect("an answer comes");
     assert_eq!(lookup.0, 200);
-    site.fault(&site.deployment.store, "{}");
-    let later = site.send(&there, "POST", "/bales?work_ms=10", Some("k2")).expect("an answer comes");
+    testbed.set_faults(&testbed.deployment.store_address, "{}");
+    let later = testbed.send(&there, "POST", "/bales?work_ms=10", Some("k2")).expect("an answer comes");
     assert_eq!((later.0, later.1.as_str()), (200, "complete"));
-    let runs = site.runs();
+    let runs = testbed.runs();
     assert_eq!((runs.get("k1"), runs.get("k2")), (Some(&1), Some(&1)));
 }
 
 #[test]
 fn an_order_is_not_run_again_when_its_entry_died() {
-    let mut site = Site::start("bayline", 37);
-    let (here, there) = (site.entry(0), site.entry(6));
-    let first = site.send(&here.address, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
+    let mut testbed = Testbed::start("bayline", 37);
+    let (here, there) = (testbed.entry(0), testbed.entry(6));
+    let first = testbed.send(&here.address, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
     assert_eq!(first.0, 200);
-    site.deployment.children.kill(&here.name);
-    let again = site.send(&there.address, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
-    assert_eq!((again.0, again.1.as_str()), (409, "unknown"));
-    assert_eq!(site.runs().get("k"), Some(&1));
+    testbed.deployment.children.kill(&here.name);
+    let resent = testbed.send(&there.address, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
+    assert_eq!((resent.0, resent.1.as_str()), (409, "unknown"));
+    assert_eq!(testbed.runs().get("k"), Some(&1));
 }
 
 #[test]
 fn a_change_reaches_every_daemon_and_survives_restarts_without_the_store() {
-    let mut site = Site::start("bayline", 38);
-    let store = store::Client::new(&site.deployment.store, Duration::from_secs(5)).expect("it starts");
+    let mut testbed = Testbed::start("bayline", 38);
+    let store = store::Client::new(&testbed.deployment.store_address, Duration::from_secs(5))
+        .expect("the client can be created");
     let done = ctl::change::edit(&store, "drain", |policy| {
         policy.drains.push(config::policy::Drain { scope: config::policy::Scope::Domain, name: "wi-b".to_owned() });
         Ok(())
     });
     let revision = done.expect("the store works").revision();
-    site.deployment.wait_ready(revision).expect("every daemon has it in force");
-    site.deployment.children.kill("store");
+    testbed.deployment.wait_ready(revision).expect("every daemon has the change in force");
+    testbed.deployment.children.kill("store");
     let domain: Vec<String> =
-        site.deployment.entries().filter(|entry| entry.domain == "mi-a").map(|entry| entry.name.clone()).collect();
+        testbed.deployment.entries().filter(|entry| entry.domain == "mi-a").map(|entry| entry.name.clone()).collect();
     assert_eq!(domain.len(), 2);
     for name in &domain {
-        site.deployment.children.kill(name);
+        testbed.deployment.children.kill(name);
     }
     for name in &domain {
-        site.deployment.start_daemon(name).expect("the daemon starts");
+        testbed.deployment.start_daemon(name).expect("the daemon starts");
     }
-    site.deployment.wait_ready(revision).expect("peers give it the policy in force");
-    // Look-ups leave the drained failure domain out.
-    let drained = site.deployment.entries().find(|entry| entry.domain == "wi-b").expect("it has an entry").clone();
-    let lookup = |address: &str| site.send(address, "GET", "/lookup?client=10.3.4.5", None).expect("an answer comes").2;
-    until("no answer names the drained entry", || !lookup(&site.entry(0).address).contains(&drained.address));
+    testbed.deployment.wait_ready(revision).expect("the restarted daemons get the policy from their peers");
+    // Look-ups return no entry of the drained failure domain.
+    let drained = testbed
+        .deployment
+        .entries()
+        .find(|entry| entry.domain == "wi-b")
+        .expect("the failure domain has an entry")
+        .clone();
+    let lookup =
+        |address: &str| testbed.send(address, "GET", "/lookup?client=10.3.4.5", None).expect("an answer comes").2;
+    wait_until("no answer names the drained entry", || !lookup(&testbed.entry(0).address).contains(&drained.address));
 }
 
 #[test]
 fn a_silent_backend_server_is_passed_over() {
-    let mut site = Site::start("bayline", 39);
-    let silent: Vec<String> = site.backends().iter().take(4).map(|backend| backend.address.clone()).collect();
+    let mut testbed = Testbed::start("bayline", 39);
+    let silent: Vec<String> = testbed.backends().iter().take(4).map(|backend| backend.address.clone()).collect();
     for address in &silent {
-        site.fault(address, "{\"silent\":true}");
+        testbed.set_faults(address, "{\"silent\":true}");
     }
-    let plan = site.plan(vec![flow("lookup", "GET", "/stock?work_ms=10", 60.0)], 5, 32);
-    let tallies = site.load(&plan, |_| {});
+    let plan = testbed.plan(vec![flow("lookup", "GET", "/stock?work_ms=10", 60.0)], 5, 32);
+    let tallies = testbed.load(&plan, |_| {});
     let lookups = &tallies["lookup"];
     assert_eq!(lookups.endings.keys().collect::<Vec<_>>(), [&Ending::Complete], "{:?}", lookups.endings);
 }
 
 #[test]
 fn a_poisonous_request_stops_two_servers_at_most() {
-    let mut site = Site::start("bayline", 40);
-    let entries: Vec<String> = site.deployment.entries().map(|entry| entry.address.clone()).collect();
+    let mut testbed = Testbed::start("bayline", 40);
+    let entries: Vec<String> = testbed.deployment.entries().map(|entry| entry.address.clone()).collect();
     for entry in &entries {
-        let answer = site.send(entry, "GET", "/stock?crash=1", None);
+        let answer = testbed.send(entry, "GET", "/stock?crash=1", None);
         assert!(answer.is_ok_and(|(status, _, _)| status >= 400), "the caller gets an error each time");
-        // The caller comes back later; by then everyone must have heard.
-        let heard = |entry| site.decisions(entry).is_some_and(|state| state["poisonous"] == 1);
-        until("every daemon refuses the request", || site.deployment.entries().all(heard));
+        // The caller sends the request again only after every daemon has quarantined it.
+        let quarantined = |entry| testbed.decisions(entry).is_some_and(|state| state["poisonous"] == 1);
+        wait_until("every daemon refuses the request", || testbed.deployment.entries().all(quarantined));
     }
-    let backends = site.backends();
+    let backends = testbed.backends();
     let dead = backends
         .iter()
-        .filter(|backend| site.deployment.children.wait(&backend.name, Duration::from_millis(100)).is_some());
+        .filter(|backend| testbed.deployment.children.wait(&backend.name, Duration::from_millis(100)).is_some());
     let dead = dead.count();
-    assert!(dead >= 1, "the request does stop servers");
+    assert!(dead >= 1, "the request stops servers");
     assert!(dead <= 2, "{dead} servers were stopped");
 }
 
 #[test]
 fn a_hanging_store_stops_orders_truly_and_nothing_else() {
-    let mut site = Site::start("bayline", 41);
-    // Slower than the daemons wait for any call.
-    site.fault(&site.deployment.store, "{\"slow_ms\":3000}");
-    let entry = site.entry(2).address;
-    let refused = site.send(&entry, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
+    let mut testbed = Testbed::start("bayline", 41);
+    // Longer than the daemons' timeout for each call.
+    testbed.set_faults(&testbed.deployment.store_address, "{\"slow_ms\":3000}");
+    let entry = testbed.entry(2).address;
+    let refused = testbed.send(&entry, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
     assert_eq!((refused.0, refused.1.as_str()), (503, "not-run"));
-    let plan = site.plan(vec![flow("lookup", "GET", "/stock?work_ms=10", 60.0)], 3, 16);
-    let tallies = site.load(&plan, |_| {});
+    let plan = testbed.plan(vec![flow("lookup", "GET", "/stock?work_ms=10", 60.0)], 3, 16);
+    let tallies = testbed.load(&plan, |_| {});
     let lookups = &tallies["lookup"];
     assert_eq!(lookups.endings.keys().collect::<Vec<_>>(), [&Ending::Complete], "{:?}", lookups.endings);
-    site.fault(&site.deployment.store, "{}");
-    let store = store::Client::new(&site.deployment.store, Duration::from_secs(5)).expect("it starts");
+    testbed.set_faults(&testbed.deployment.store_address, "{}");
+    let store = store::Client::new(&testbed.deployment.store_address, Duration::from_secs(5))
+        .expect("the client can be created");
     let done = ctl::change::edit(&store, "after", |policy| {
         policy.classes.values_mut().for_each(|class| class.deadline_ms += 1);
         Ok(())
     });
-    let revision = done.expect("the store works again").revision();
-    site.deployment.wait_ready(revision).expect("every daemon has it in force");
-    let later = site.send(&entry, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
+    let revision = done.expect("the store works resent").revision();
+    testbed.deployment.wait_ready(revision).expect("every daemon has the change in force");
+    let later = testbed.send(&entry, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
     assert_eq!((later.0, later.1.as_str()), (200, "complete"));
-    assert_eq!(site.runs().get("k"), Some(&1));
+    assert_eq!(testbed.runs().get("k"), Some(&1));
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -128,7 +128,7 @@
 
 /// Raises the deadline of each class in the policy by one millisecond, if the store accepts the change.
 fn change_policy(testbed: &Testbed, number: usize) {
-    let Ok(store) = store::Client::new(&testbed.deployment.store, Duration::from_secs(1)) else { return };
+    let Ok(store) = store::Client::new(&testbed.deployment.store_address, Duration::from_secs(1)) else { return };
     let edit = |policy: &mut Policy| {
         policy.classes.values_mut().for_each(|class| class.deadline_ms += 1);
         Ok(())
@@ -170,7 +170,7 @@
     }
     let mut violations: Vec<String> =
         missing.iter().map(|entry| format!("{entry} does not serve requests after all faults ended")).collect();
-    let store = store::Client::new(&testbed.deployment.store, Duration::from_secs(5));
+    let store = store::Client::new(&testbed.deployment.store_address, Duration::from_secs(5));
     match store.map(|store| ctl::change::read(&store)) {
         Ok(Ok((_, revision))) => {
             violations.extend(
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -59,16 +59,16 @@
             links.push(Proxy::start(&instance.address, &backend_address)?);
             instance.address = backend_address;
         }
-        let store_address = offset_port(&deployment.store, STORE_PORT_OFFSET);
-        links.push(Proxy::start(&deployment.store, &store_address)?);
-        deployment.store = store_address;
+        let store_address = offset_port(&deployment.store_address, STORE_PORT_OFFSET);
+        links.push(Proxy::start(&deployment.store_address, &store_address)?);
+        deployment.store_address = store_address;
         let caller_link = |entry: &Instance| {
             let address = offset_port(&entry.address, CALLER_LINK_PORT_OFFSET);
             Proxy::start(&address, &entry.address).map(|proxy| (proxy, address))
         };
         let caller_links = deployment.entries().map(caller_link).collect::<std::io::Result<Vec<_>>>()?;
         deployment.start_platform()?;
-        let revision = deployment.apply()?;
+        let revision = deployment.apply_policy()?;
         deployment.start_daemons()?;
         deployment.wait_ready(revision)?;
         let agent = caller::agent();
@@ -167,7 +167,7 @@
             Some(StoreFault::Slow(ms)) => format!("{{\"slow_ms\":{ms}}}"),
             Some(StoreFault::LoseAnswers) => format!("{{\"lose_answers\":{LOST_ANSWERS}}}"),
         };
-        drop(self.agent.post(format!("http://{}/fault", self.deployment.store)).send(&faults));
+        drop(self.agent.post(format!("http://{}/fault", self.deployment.store_address)).send(&faults));
     }
 
     /// Asks a backend server how often it ran each key; empty if it does not answer.
