--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -10,7 +10,7 @@
 use config::configs::Settings;
 use daemon::adapter::Adapter;
 use daemon::lifecycle::Daemon;
-use fakes::backend::{Running, Setup};
+use fakes::backend::{Server, Setup};
 use log::kv::{Key, Value, VisitSource};
 use rstest::rstest;
 
@@ -20,9 +20,9 @@
 
 /// A daemon with a fake backend server, instance list and store.
 struct Harness {
-    backend: Running,
-    _list: fakes::list::Running,
-    store: fakes::store::Running,
+    backend: Server,
+    _list: fakes::list::Server,
+    store: fakes::store::Server,
     daemon: Option<Daemon>,
     address: String,
 }
@@ -30,8 +30,8 @@
 impl Harness {
     /// Starts everything on the addresses `127.0.{net}.*` and waits until a request succeeds.
     fn new(net: u8) -> Self {
-        let backend = Running::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the fake backend starts");
-        let store = fakes::store::Running::start("127.0.0.1:0").expect("the fake store starts");
+        let backend = Server::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the fake backend starts");
+        let store = fakes::store::Server::start("127.0.0.1:0").expect("the fake store starts");
         let instance = Instance {
             name: "b".to_owned(),
             role: Role::Backend,
@@ -47,7 +47,7 @@
             state: State::Live,
         };
         let list =
-            fakes::list::Running::start("127.0.0.1:0", vec![instance], Duration::ZERO).expect("the fake list starts");
+            fakes::list::Server::start("127.0.0.1:0", vec![instance], Duration::ZERO).expect("the fake list starts");
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let policy = folder.join(format!("port-{net}.toml"));
         std::fs::write(&policy, POLICY).expect("the file can be written");
