--- a/crates/dispatch/src/announcements.rs
+++ b/crates/dispatch/src/announcements.rs
@@ -51,7 +51,7 @@
         Self::default()
     }
 
-    /// Returns what `server` announced.
+    /// Returns what `server` announced; an empty announcement if there is none.
     pub fn get(&self, server: BackendId) -> Announcement {
         self.0.get(&server).copied().unwrap_or_default()
     }
@@ -75,12 +75,13 @@
         self.0.iter().filter(move |(_, announcement)| announcement.is_leaving(now)).map(|(server, _)| *server)
     }
 
+    /// Returns the announcement of `server` to update; makes space for it if the set is full.
     fn entry(&mut self, server: BackendId, now: Time) -> &mut Announcement {
         if self.0.len() >= MAX_ENTRIES && !self.0.contains_key(&server) {
             self.0.retain(|_, announcement| now < announcement.expires_at());
-            let first =
+            let earliest =
                 self.0.iter().min_by_key(|(_, announcement)| announcement.expires_at()).map(|(server, _)| *server);
-            first.filter(|_| self.0.len() >= MAX_ENTRIES).map(|first| self.0.remove(&first));
+            earliest.filter(|_| self.0.len() >= MAX_ENTRIES).map(|earliest| self.0.remove(&earliest));
         }
         self.0.entry(server).or_default()
     }
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -29,7 +29,7 @@
 const SHED_PAUSE: Duration = Duration::from_millis(50);
 /// Maximum age of a report that counts as current, that is, as part of the answer that is being processed.
 const FRESH_REPORT_AGE: Duration = Duration::from_millis(50);
-/// Age at which a report without a pace no longer says anything of the work of other daemons.
+/// Age at which a report without a pace no longer says anything about the work of other daemons.
 const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 /// Weight of a new report in the running average of the load.
 const REPORT_EWMA_WEIGHT: f64 = 0.3;
@@ -99,8 +99,9 @@
     slow_start_bucket: Bucket,
     pace: f64,
     pace_reported_at: Time,
-    /// Work of other daemons according to the last answer, with the time of that answer; below, its average.
+    /// Work of other daemons, in requests, by the last report in an answer, with the time of that report.
     reported_others: Option<(f64, Time)>,
+    /// Running average of that work.
     average_others: f64,
     /// Assumed work of other daemons until an answer reports it: that of the other servers of its service.
     assumed_others: f64,
@@ -238,7 +239,8 @@
         self.announcement = announcement;
     }
 
-    /// Returns whether the server takes no new work for good: it is drained, removed, or has said that it stops.
+    /// Returns whether the server takes no new work for good: it is drained or removed, or has announced or reported
+    /// that it stops.
     pub fn leaving(&self) -> bool {
         self.spec.leaving || self.announced_leaving || self.report.is_some_and(|report| report.draining)
     }
@@ -279,7 +281,7 @@
         self.unavailable_until
     }
 
-    /// Returns whether the server is ejected, or was and has not passed its trial yet.
+    /// Returns whether the server is on probation: it is ejected, or was and has not passed its trial yet.
     pub fn suspect(&self) -> bool {
         self.on_probation
     }
@@ -400,6 +402,7 @@
         self.unavailable_until = self.unavailable_until.max(now + SHED_PAUSE);
     }
 
+    /// Ejects the server, each time in a row for twice as long; does nothing if it is ejected already.
     fn eject(&mut self, now: Time) {
         if self.ejected(now) && self.on_probation {
             return;
--- a/crates/dispatch/src/class.rs
+++ b/crates/dispatch/src/class.rs
@@ -148,7 +148,8 @@
         self.answer_size_known
     }
 
-    /// Returns whether a request has waited so long that it goes first.
+    /// Returns whether a request that may wait has waited for more than a quarter of the deadline, so that it goes
+    /// first.
     pub fn aged(&self, arrived: Time, now: Time) -> bool {
         self.spec.may_wait && now.since(arrived) > self.spec.deadline / 4
     }
--- a/crates/dispatch/src/engine/answer.rs
+++ b/crates/dispatch/src/engine/answer.rs
@@ -53,6 +53,7 @@
         }
     }
 
+    /// Refuses a request whose deadline has passed.
     pub(super) fn expire(&mut self, request: u64, now: Time) {
         let Some(state) = self.requests.get(&request) else {
             return;
--- a/crates/dispatch/src/engine/ending.rs
+++ b/crates/dispatch/src/engine/ending.rs
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Retries a request if that is safe, within budget and before its deadline; otherwise answers with `kind`.
+    /// Retries a request if that is safe, within budget and before its deadline; otherwise answers with `kind`. Does
+    /// neither while another attempt of the request is in flight.
     fn retry(&mut self, request: u64, kind: Kind, now: Time) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
--- a/crates/dispatch/src/engine/event.rs
+++ b/crates/dispatch/src/engine/event.rs
@@ -122,7 +122,7 @@
     pub fingerprint: u64,
     /// Size of the request, in bytes.
     pub bytes: u64,
-    /// How long the caller waits, at most; `None` if it did not say.
+    /// How long the caller waits, at most; `None` if it set no limit.
     pub timeout: Option<Duration>,
     /// Hash of the object that the request is about; `None` if it is about none.
     pub object: Option<u64>,
@@ -185,7 +185,7 @@
 }
 
 impl Budgets {
-    /// Budgets of one daemon where the settings give none.
+    /// Budgets of one daemon where the settings have none.
     pub const DEFAULT: Self = Self {
         hedge_ratio: 0.03,
         hedge_burst: 5.0,
--- a/crates/dispatch/src/engine/held.rs
+++ b/crates/dispatch/src/engine/held.rs
@@ -21,8 +21,10 @@
 const RETRY_SPREAD: Duration = Duration::from_millis(500);
 /// Fraction of the remaining pause by which the retries of callers refused for it are spread further past its end.
 const PAUSE_SPREAD_RATIO: f64 = 0.5;
-/// The same times for a caller whose request was shed by a server with a free slot: waiting longer does not help.
+/// The same as [`RETRY_DELAY`] for a caller whose request was shed by a server with a free slot: waiting longer does
+/// not help.
 const FREE_SLOT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The same as [`RETRY_SPREAD`] for such callers.
 const FREE_SLOT_RETRY_SPREAD: Duration = Duration::from_millis(30);
 
 impl Engine {
@@ -63,10 +65,10 @@
         for service in services {
             let held = self.held.remove(&service).unwrap_or_default();
             let affected = |request: &u64| freed.is_none_or(|server| self.waits_for(*request, server));
-            let (mut candidates, mut kept): (Vec<u64>, Vec<u64>) = held.into_iter().partition(affected);
+            let (mut candidates, mut still_held): (Vec<u64>, Vec<u64>) = held.into_iter().partition(affected);
             candidates.sort_by_key(|request| self.held_order(*request));
-            kept.extend(candidates.into_iter().filter(|request| self.keep_waiting(*request, now)));
-            self.held.entry(service).or_default().extend(kept);
+            still_held.extend(candidates.into_iter().filter(|request| self.keep_waiting(*request, now)));
+            self.held.entry(service).or_default().extend(still_held);
         }
     }
 
@@ -117,7 +119,7 @@
         serving.filter(|server| spec.allows(server.spec.region)).map(Backend::available_at).min()
     }
 
-    /// Returns when a caller refused for `kind` should retry; `None` for the usual time of the kind. `free_slot` says
+    /// Returns when a caller refused for `kind` should retry; `None` for the usual time of the kind. `free_slot` is
     /// whether the server that shed the request had a free slot, `pause_end` when a server accepts its work again.
     pub(super) fn retry_after(
         &mut self,
--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -149,7 +149,8 @@
         self.attempts.len()
     }
 
-    /// Returns how often a server has been picked, fruitless picks included: a measure of the cost of dispatch.
+    /// Returns how often a server was searched for a request, with or without success: a measure of the cost of
+    /// dispatch.
     pub const fn picks(&self) -> u64 {
         self.picks
     }
--- a/crates/dispatch/src/engine/pick.rs
+++ b/crates/dispatch/src/engine/pick.rs
@@ -27,7 +27,7 @@
 const DOMAIN_COST: f64 = 0.2;
 /// Maximum fraction of a tier's servers that may be ejected for late answers at the same time.
 const MAX_EJECTED_RATIO: f64 = 0.5;
-/// Requests above its slots that a server without attempts of ours still gets, when all reports say that it is full.
+/// Requests above its slots that a server without attempts of this daemon still gets when its reports show it as full.
 const OVERBOOKING: f64 = 1.0;
 
 impl Engine {
@@ -216,7 +216,7 @@
         None
     }
 
-    /// Returns until when a request waits for a server.
+    /// Returns until when a request waits for a server, at most.
     pub(super) fn wait_deadline(&self, state: &Request) -> Time {
         let target = state.arrived + self.classes[state.class].spec.target;
         if state.object.is_some() { target.min(state.deadline) } else { state.deadline }
--- a/crates/dispatch/src/engine/policy.rs
+++ b/crates/dispatch/src/engine/policy.rs
@@ -31,8 +31,8 @@
         let service = usize::from(state.service);
         let [near, far] = self.tiers.get(service)?;
         let usable = |ids: &[BackendId]| -> Vec<BackendId> {
-            let open = ids.iter().filter(|id| self.backends.get(id).is_some_and(|server| !server.spec.leaving));
-            open.copied().collect()
+            let in_service = ids.iter().filter(|id| self.backends.get(id).is_some_and(|server| !server.spec.leaving));
+            in_service.copied().collect()
         };
         let mut members = usable(near);
         if members.is_empty() {
--- a/crates/dispatch/src/engine/queue.rs
+++ b/crates/dispatch/src/engine/queue.rs
@@ -81,6 +81,8 @@
         class.typical_latency() * ahead / running
     }
 
+    /// Sends the waiting requests of `class` in order until one has to wait; refuses those that no server can run or
+    /// that cannot finish in time.
     pub(super) fn dispatch_class(&mut self, class: usize, now: Time) {
         while let Some(request) = self.classes[class].queue.front().copied() {
             if self.attempts.len() >= self.limits.max_in_flight {
@@ -139,8 +141,8 @@
         true
     }
 
-    /// Schedules another try of waiting requests: slots also become free when work of other daemons ends, without
-    /// notice.
+    /// Schedules another try of waiting requests: slots also become free when work of other daemons ends, which
+    /// this daemon does not observe.
     pub(super) fn schedule_recheck(&mut self, now: Time) {
         if self.recheck_at.is_none() {
             let at = now + if self.queued > 0 { RECHECK_INTERVAL } else { HELD_RECHECK_INTERVAL };
--- a/crates/dispatch/src/engine/state.rs
+++ b/crates/dispatch/src/engine/state.rs
@@ -22,6 +22,7 @@
     pub(super) attempts: usize,
     /// Servers that must not get the request: an attempt there failed or is in flight.
     pub(super) excluded: Vec<BackendId>,
+    /// Attempts in flight, by number.
     pub(super) live: Vec<u64>,
     pub(super) hedged: bool,
     pub(super) queued: bool,
@@ -37,13 +38,16 @@
     pub(super) class: usize,
     /// Whether the server had handled the request's object recently; `None` for a request without an object.
     pub(super) warm: Option<bool>,
-    /// Whether the server had a free slot, as far as known, and its pace, both when the attempt started.
+    /// Whether the server had a free slot when the attempt started, as far as known.
     pub(super) had_free_slot: bool,
+    /// The server's pace when the attempt started.
     pub(super) pace: f64,
     pub(super) backend: BackendId,
     pub(super) started: Time,
+    /// When the attempt counts as late.
     pub(super) late_at: Time,
     pub(super) late: bool,
+    /// Capacity reserved for the attempt; `None` if it uses no link.
     pub(super) reserved: Option<Reservation>,
 }
 
@@ -52,14 +56,17 @@
 pub(super) struct Reservation {
     pub(super) region: u16,
     pub(super) bytes: f64,
-    /// Whether an answer of the class had been seen, so that `bytes` is an estimate.
+    /// Whether an answer of the class had been observed when `bytes` was estimated.
     pub(super) answer_size_known: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
+    /// An attempt, by number, becomes late.
     Late(u64),
+    /// The deadline of a request, by number, passes.
     Deadline(u64),
+    /// Waiting requests are tried again.
     Recheck,
 }
 
@@ -71,5 +78,6 @@
     pub(super) uncapped: bool,
     /// Attempts in flight of classes whose answer size is not known yet.
     pub(super) unsized_in_flight: u32,
+    /// Bytes that may cross the link.
     pub(super) bucket: rate::Bucket,
 }
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Returns the losses for which `fingerprint` is refused; empty if it is not.
+    /// Returns the losses for which `fingerprint` is refused, each with the fingerprint; empty if it is not refused.
     pub fn losses(&self, fingerprint: u64, now: Time) -> Vec<(u64, u64)> {
         let quarantined = self.is_quarantined(fingerprint, now);
         let record = self.records.get(&fingerprint).filter(|_| quarantined);
@@ -85,6 +85,7 @@
         self.records.keys().filter(|fingerprint| self.is_quarantined(**fingerprint, now)).count()
     }
 
+    /// Makes space for one more fingerprint: removes the expired ones, then the oldest if that is not enough.
     fn evict(&mut self, now: Time) {
         if self.records.len() < MAX_ENTRIES {
             return;
--- a/crates/dispatch/src/samples.rs
+++ b/crates/dispatch/src/samples.rs
@@ -11,15 +11,17 @@
 /// Recent durations and their median.
 #[derive(Debug, Clone)]
 pub struct Samples {
+    /// In microseconds, the latest last.
     times: VecDeque<u32>,
+    /// Durations recorded since the median was last computed.
     since_refresh: usize,
     median: Duration,
 }
 
 impl Samples {
-    /// Creates an empty set whose median is `first` until a duration is recorded.
-    pub const fn new(first: Duration) -> Self {
-        Self { times: VecDeque::new(), since_refresh: 0, median: first }
+    /// Creates an empty set whose median is `initial` until a duration is recorded.
+    pub const fn new(initial: Duration) -> Self {
+        Self { times: VecDeque::new(), since_refresh: 0, median: initial }
     }
 
     /// Records a duration.
@@ -31,7 +33,7 @@
         self.since_refresh += 1;
         if self.since_refresh >= REFRESH_INTERVAL || self.times.len() < REFRESH_INTERVAL {
             self.since_refresh = 0;
-            self.median = self.compute();
+            self.median = self.compute_median();
         }
     }
 
@@ -45,7 +47,7 @@
         self.times.is_empty()
     }
 
-    fn compute(&self) -> Duration {
+    fn compute_median(&self) -> Duration {
         let mut sorted: Vec<u32> = self.times.iter().copied().collect();
         let middle = sorted.len() / 2;
         let (_, median, _) = sorted.select_nth_unstable(middle);
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -13,6 +13,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Split {
     shares: Vec<Share>,
+    /// For each share, the weight that it has accumulated; the highest one gets the next request.
     credits: Vec<i64>,
 }
 
--- a/crates/dispatch/src/work_time.rs
+++ b/crates/dispatch/src/work_time.rs
@@ -15,9 +15,9 @@
 }
 
 impl Estimate {
-    /// Creates an estimate without observations; warm work is assumed to take `first`.
-    pub const fn new(first: Duration) -> Self {
-        Self { warm: Samples::new(first), cold: Samples::new(first.saturating_mul(INITIAL_COLD_FACTOR)) }
+    /// Creates an estimate without observations; warm work is assumed to take `initial`.
+    pub const fn new(initial: Duration) -> Self {
+        Self { warm: Samples::new(initial), cold: Samples::new(initial.saturating_mul(INITIAL_COLD_FACTOR)) }
     }
 
     /// Records the time of an attempt at a server with a free slot and with `pace`.
@@ -26,12 +26,12 @@
         if warm { self.warm.record(normalized) } else { self.cold.record(normalized) }
     }
 
-    /// Returns the usual time of work on a warm object.
+    /// Returns the usual time of work on a warm object; at most the time on a cold one.
     pub fn warm(&self) -> Duration {
         if self.cold.is_empty() { self.warm.median() } else { self.warm.median().min(self.cold.median()) }
     }
 
-    /// Returns the usual time of work on a cold object.
+    /// Returns the usual time of work on a cold object; at least the time on a warm one.
     pub fn cold(&self) -> Duration {
         if self.cold.is_empty() { self.warm() * INITIAL_COLD_FACTOR } else { self.cold.median().max(self.warm()) }
     }
--- a/crates/dispatch/tests/announcements.rs
+++ b/crates/dispatch/tests/announcements.rs
@@ -21,7 +21,7 @@
     World::new((1..=servers).map(|id| backend(id, Place::Domain)).collect(), 7)
 }
 
-/// Sends 30 requests, one after the other; retries the servers they went to.
+/// Sends 30 requests, one after the other; returns the servers they went to.
 fn send_30(world: &mut World, class: usize) -> Vec<BackendId> {
     let mut servers = Vec::new();
     for _ in 0..30 {
@@ -65,7 +65,8 @@
     assert_eq!(world.engine.leaving_backends(world.now).collect::<Vec<_>>(), [9]);
 }
 
-/// Load: requests wait for the home of their object when that server announces that it is leaving.
+/// Load: requests wait for the home of their object when that server announces that it is leaving. They must not wait
+/// until they expire.
 #[test]
 fn requests_that_wait_for_a_leaving_server_go_elsewhere() {
     let classes: Vec<class::Spec> =
@@ -133,12 +134,12 @@
     let request = 900;
     world.engine.submit(Arrival::new(request, class, request, 10), now);
     let answer = world.engine.take_actions().into_iter().find_map(|action| match action {
-        Action::Answer { verdict, retry_after: after, .. } => Some((verdict, after)),
+        Action::Answer { verdict, retry_after, .. } => Some((verdict, retry_after)),
         _ => None,
     });
-    let (verdict, after) = answer.expect("it is refused at once");
+    let (verdict, retry_after) = answer.expect("it is refused at once");
     assert_eq!(verdict, Verdict::Refuse(Kind::Paused));
-    assert!(after.is_some_and(|after| after >= pause), "{after:?}");
+    assert!(retry_after.is_some_and(|after| after >= pause), "{retry_after:?}");
 }
 
 #[test]
@@ -169,7 +170,7 @@
     announcements.record_leaving(1, now + HOUR, now);
     announcements.record_pause(20_000, SECOND * 30, now);
     assert!(announcements.get(1).is_leaving(now) && announcements.get(20_000).paused_until() > now);
-    assert_eq!(announcements.get(5).paused_until(), Time::default(), "the first to end was forgotten");
+    assert_eq!(announcements.get(5).paused_until(), Time::default(), "the first to expire was evicted");
 }
 
 /// Load: three quarters of the capacity; from five seconds on, some servers pause for four seconds.
@@ -207,7 +208,7 @@
     cluster.run(SECOND * 2, 30.0, 40);
     assert_eq!(cluster.sent_while_paused, 0);
     assert!(cluster.max_refusal_delay < Duration::from_millis(50), "{:?}", cluster.max_refusal_delay);
-    assert!(cluster.retry_times.iter().all(|at| *at >= until), "no caller is to retry too early");
+    assert!(cluster.retry_times.iter().all(|at| *at >= until), "no caller retries before the end of the pause");
     let retries = cluster.retry_times.len();
     let first = cluster.retry_times.iter().filter(|at| **at < until + Duration::from_millis(250)).count();
     assert!(first * 3 < retries, "{first} of {retries} come back in the first quarter of a second");
--- a/crates/dispatch/tests/common/cluster.rs
+++ b/crates/dispatch/tests/common/cluster.rs
@@ -18,7 +18,7 @@
 const REMOTE_DELAY: Duration = Duration::from_millis(12);
 /// Time in which requests already in transit may still reach a server that announced a pause.
 const TRANSIT_TIME: Duration = Duration::from_millis(100);
-/// Number of requests that wait at a server before it sheds.
+/// Maximum number of requests that wait at a server; it sheds further ones.
 const MAX_QUEUE: usize = 9;
 
 /// Counts of the requests of one region's callers.
@@ -32,8 +32,11 @@
 
 struct Server {
     region: u16,
+    /// Engine and attempt of each running request, by number.
     running: BTreeMap<u64, (usize, u64)>,
+    /// Number, engine, attempt and object of each waiting request.
     waiting: VecDeque<(u64, usize, u64, u64)>,
+    /// Warm objects, the latest last.
     warm: VecDeque<u64>,
 }
 
@@ -58,14 +61,17 @@
     /// Requests run in each region, by second and caller's region.
     pub ran: BTreeMap<(u64, u16), BTreeMap<u16, u32>>,
     pub outcomes: BTreeMap<(u64, u16), Outcome>,
+    /// Engines with their regions.
     engines: Vec<(Engine, u16)>,
     servers: BTreeMap<BackendId, Server>,
     events: BTreeSet<(Time, u64, Event)>,
     requests: BTreeMap<u64, Request>,
+    /// Request and server of each attempt, by engine and attempt.
     attempts: BTreeMap<(usize, u64), (u64, BackendId)>,
     target: Duration,
-    /// For each region, the objects left to ask for in the current round.
+    /// For each region, the objects that are still to be requested in the current round.
     rounds: [Vec<u64>; 3],
+    /// Last number given to a request or an event.
     next: u64,
     /// Fraction of the answers that every other server loses: the connection ends when the work is done.
     pub loss_ratio: f64,
@@ -77,7 +83,7 @@
     pub sent_while_paused: u32,
     /// Longest time until a refused request was refused.
     pub max_refusal_delay: Duration,
-    /// Times at which refused callers are to retry.
+    /// Times at which refused callers should retry.
     pub retry_times: Vec<Time>,
     /// Maximum load of a server, by second.
     pub max_load: BTreeMap<u64, usize>,
@@ -146,8 +152,8 @@
             budgets: Budgets::DEFAULT,
         };
         let mut engine = Engine::new(vec![class], limits, seed);
-        let open = Remote { max_in_flight: u32::MAX, bytes_per_second: 1e9 };
-        (0..3).for_each(|other| engine.set_remote(other, open, self.now));
+        let remote = Remote { max_in_flight: u32::MAX, bytes_per_second: 1e9 };
+        (0..3).for_each(|other| engine.set_remote(other, remote, self.now));
         let spec = |(id, server): (&BackendId, &Server)| Spec {
             id: *id,
             service: 0,
@@ -189,7 +195,7 @@
                 break;
             }
             let object = 1_000 * caller as u64 + self.next_object(caller, objects);
-            self.ask(caller as u16, object);
+            self.submit(caller as u16, object);
             let pause = -(1.0 - self.rng.f64()).ln() / per_second;
             due[caller] = due[caller] + Duration::from_secs_f64(pause);
         }
@@ -203,7 +209,8 @@
         self.rounds[caller].pop().unwrap_or(0)
     }
 
-    fn ask(&mut self, region: u16, object: u64) {
+    /// Submits a request to a random engine of `region`.
+    fn submit(&mut self, region: u16, object: u64) {
         let engine = usize::from(region) * 2 + self.rng.usize(0..2);
         self.next += 1;
         self.requests.insert(self.next, Request { engine, object, arrived: self.now });
@@ -213,13 +220,14 @@
         self.apply_actions(engine);
     }
 
+    /// Handles the events and the engines' timers that are due by `to`, in order.
     fn advance(&mut self, to: Time) {
         loop {
             let event = self.events.first().map(|(at, _, _)| *at);
-            let wakes = self.engines.iter().enumerate();
-            let wake = wakes.filter_map(|(index, (engine, _))| Some((engine.next_wakeup()?, index))).min();
-            match (event, wake) {
-                (Some(at), wake) if at <= to && wake.is_none_or(|(wake, _)| at <= wake) => {
+            let engines = self.engines.iter().enumerate();
+            let wakeup = engines.filter_map(|(index, (engine, _))| Some((engine.next_wakeup()?, index))).min();
+            match (event, wakeup) {
+                (Some(at), wakeup) if at <= to && wakeup.is_none_or(|(wakeup, _)| at <= wakeup) => {
                     self.now = self.now.max(at);
                     let Some((_, _, event)) = self.events.pop_first() else { return };
                     self.handle(event);
@@ -235,7 +243,7 @@
         self.now = self.now.max(to);
     }
 
-    fn plan(&mut self, at: Time, event: Event) {
+    fn schedule(&mut self, at: Time, event: Event) {
         self.next += 1;
         self.events.insert((at, self.next, event));
     }
@@ -275,7 +283,7 @@
             let announced_at = self.announced_at.get(&(engine, id));
             self.sent_while_paused += u32::from(announced_at.is_some_and(|at| self.now.since(*at) > TRANSIT_TIME));
             let (at, pause) = (self.now + self.delay(engine, id), until.since(self.now));
-            return self.plan(at, Event::Pause { server: id, engine, attempt, pause });
+            return self.schedule(at, Event::Pause { server: id, engine, attempt, pause });
         }
         let server = &self.servers[&id];
         let max_load = self.max_load.entry(self.now.as_millis() / 1_000).or_default();
@@ -283,7 +291,7 @@
         if server.running.len() >= 3 && server.waiting.len() >= MAX_QUEUE {
             let load = (server.running.len() + server.waiting.len()) as u32;
             let at = self.now + self.delay(engine, id);
-            return self.plan(at, Event::Answer { server: id, engine, attempt, shed: true, load });
+            return self.schedule(at, Event::Answer { server: id, engine, attempt, shed: true, load });
         }
         self.next += 1;
         let number = self.next;
@@ -309,7 +317,7 @@
         let work = if warm { WORK.mul_f64(0.3) } else { WORK };
         let spread = work.mul_f64(0.85 + 0.3 * self.rng.f64());
         let at = self.now + spread;
-        self.plan(at, Event::Done { server: id, attempt: number });
+        self.schedule(at, Event::Done { server: id, attempt: number });
     }
 
     fn done(&mut self, id: BackendId, number: u64) {
@@ -320,7 +328,7 @@
         let at = self.now + self.delay(engine, id);
         let lost = self.loss_ratio > 0.0 && id.is_multiple_of(2) && self.rng.f64() < self.loss_ratio;
         let answer = Event::Answer { server: id, engine, attempt, shed: false, load };
-        self.plan(at, if lost { Event::Lost { engine, attempt } } else { answer });
+        self.schedule(at, if lost { Event::Lost { engine, attempt } } else { answer });
         if let Some(next) = next {
             self.begin(id, next);
         }
@@ -333,7 +341,7 @@
                     self.attempts.insert((engine, attempt), (request, backend));
                     let Some(object) = self.requests.get(&request).map(|request| request.object) else { continue };
                     let at = self.now + self.delay(engine, backend);
-                    self.plan(at, Event::Arrive { server: backend, engine, attempt, object });
+                    self.schedule(at, Event::Arrive { server: backend, engine, attempt, object });
                 }
                 Action::Cancel { attempt, backend } => self.cancel(engine, attempt, backend),
                 Action::Answer { request, verdict, retry_after } => self.answer(request, verdict, retry_after),
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world around one engine, shared by the tests of this crate.
+//! A simulated environment of one engine, shared by the tests of this crate.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod cluster;
@@ -56,8 +56,11 @@
     pub now: Time,
     pub live: BTreeMap<u64, Live>,
     pub traces: BTreeMap<u64, Trace>,
+    /// Servers of the other region.
     pub remote: BTreeSet<BackendId>,
+    /// Maximum number of attempts in flight in the other region; exceeding it fails the test.
     pub remote_limit: u32,
+    /// Whether a server got a bulk request while it ran another one.
     pub waiting_limit_broken: bool,
     next: u64,
 }
@@ -191,6 +194,7 @@
     }
 }
 
+/// Checks that an answer relays an attempt of the request, and says "not run" only if no attempt may have run.
 fn check_truth(trace: &Trace, verdict: Verdict, running: u32) {
     match verdict {
         Verdict::Relay(attempt) => assert!(trace.attempts.contains(&attempt), "the answer is the request's own"),
--- a/crates/dispatch/tests/ejection.rs
+++ b/crates/dispatch/tests/ejection.rs
@@ -32,6 +32,7 @@
 }
 
 /// Load: two servers, one of them much faster, which is removed while the other one is ejected for late answers.
+/// Requests must not be refused then.
 #[test]
 fn the_last_server_serves_also_when_its_answers_were_late() {
     let mut world = World::new(vec![backend(1, Place::Domain), backend(2, Place::Domain)], 7);
@@ -59,7 +60,8 @@
     assert_eq!(lost, 0, "{lost} of 100 were refused by a service with a sound server");
 }
 
-/// Load: requests reach a server when their callers have hardly any time left.
+/// Load: requests reach a server when their callers have hardly any time left. Their timeouts must not eject servers
+/// that work normally.
 #[test]
 fn an_attempt_with_little_time_left_is_not_held_against_its_server() {
     let mut engine = Engine::new(classes(), LIMITS, 7);
@@ -87,7 +89,8 @@
     engine.take_actions().into_iter().filter_map(start).collect()
 }
 
-/// Load: many requests are in flight while the process is stopped for five seconds.
+/// Load: many requests are in flight while the process is stopped for five seconds. All of them are late then, but not
+/// because of their servers.
 #[rstest]
 #[case::plain(false)]
 #[case::keyed(true)]
@@ -103,11 +106,11 @@
     let running = started(&mut engine);
     assert!(running.len() >= 4);
     let stall = Duration::from_secs(5);
-    let woke = begun + stall;
-    engine.suspend(stall, woke + MS * 300);
-    engine.tick(woke);
+    let resumed = begun + stall;
+    engine.suspend(stall, resumed + MS * 300);
+    engine.tick(resumed);
     for (attempt, _) in running {
-        engine.finish(attempt, Ending::Timeout, woke + MS);
+        engine.finish(attempt, Ending::Timeout, resumed + MS);
     }
     assert_eq!(engine.backends().filter(|server| server.suspect()).count(), 0);
 }
--- a/crates/dispatch/tests/faults.rs
+++ b/crates/dispatch/tests/faults.rs
@@ -81,11 +81,15 @@
     let first = world.send_as(LOOKUP, 99);
     world.end(only_attempt(&world, first), Ending::Lost);
     world.end(only_attempt(&world, first), Ending::Lost);
-    assert_eq!(refused(&world, first), Some(Kind::BackendLost), "it ran, so it is no `not run`");
+    assert_eq!(
+        refused(&world, first),
+        Some(Kind::BackendLost),
+        "it may have run, so the answer must not say `not run`"
+    );
     let again = world.send_as(LOOKUP, 99);
     assert_eq!(refused(&world, again), Some(Kind::Poisoned));
     let other = world.send_as(LOOKUP, 98);
-    assert_eq!(refused(&world, other), None, "other requests go on");
+    assert_eq!(refused(&world, other), None, "other requests are not refused");
 }
 
 #[test]
@@ -198,7 +202,7 @@
         }
     }
     let ejected = world.engine.backends().filter(|server| server.suspect()).count();
-    assert!(ejected <= 3, "at most half are ejected by lateness, not {ejected}");
+    assert!(ejected <= 3, "at most half are ejected for late answers, not {ejected}");
     let share = recent.iter().filter(|slow| **slow).count() as f64 / recent.len() as f64;
     assert!(share < 0.25, "{share} of requests still meet a slow server");
 }
@@ -266,7 +270,8 @@
     assert!(bytes as f64 > RATE, "the link is used");
 }
 
-/// Load: a daemon starts while its region is short of servers, before any answer size is known.
+/// Load: a daemon starts while its region is short of servers, before any answer size is known. Large answers that are
+/// estimated as small would exceed the link's share.
 #[test]
 fn first_answers_that_are_large_stay_within_the_share() {
     const RATE: f64 = 10_000_000.0;
@@ -353,7 +358,8 @@
     assert_eq!(server.suspect(), ejected);
 }
 
-/// Load: many callers send the same request, and servers crash meanwhile for other reasons.
+/// Load: many callers send the same request, and servers crash meanwhile for other reasons. The request must not be
+/// refused as their cause.
 #[test]
 fn a_request_that_was_answered_recently_is_not_quarantined() {
     let mut world = world(6);
--- a/crates/dispatch/tests/keyed.rs
+++ b/crates/dispatch/tests/keyed.rs
@@ -18,7 +18,8 @@
 }
 
 /// Load: four fifths of what the servers could do if every object were cold; a third of it comes from callers whose
-/// region has an eighth of the servers.
+/// region has an eighth of the servers. Objects that spread over many servers would be cold everywhere, which makes all
+/// servers slow.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -30,7 +31,8 @@
     assert!(fraction >= 0.9, "{fraction} good after ten seconds");
 }
 
-/// Load: the same, and all entry instances restart at the same moment and lose their state.
+/// Load: the same, and all entry instances restart at the same moment and lose their state. If they then sent objects
+/// to other servers than before, these would be cold there.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -44,7 +46,8 @@
     assert!(fraction >= 0.85, "{fraction} good from three seconds after the restart on");
 }
 
-/// Load: callers of a region with a tenth of the servers, from the first second on.
+/// Load: callers of a region with a tenth of the servers, from the first second on. The work that moves to other
+/// regions must not swing back and forth.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -57,7 +60,8 @@
     assert!(widest <= 0.15, "{widest} of the requests changed their region within two seconds: {fractions:?}");
 }
 
-/// Load: after an outage of all entry instances, ten times the usual requests arrive at once.
+/// Load: after an outage of all entry instances, ten times the usual requests arrive at once. Queues at the servers
+/// would make later requests late too.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -75,7 +79,8 @@
     assert!(served >= 0.75, "{served} answered at all");
 }
 
-/// Load: half of the servers lose the answers of 3 % of the requests that they ran.
+/// Load: half of the servers lose the answers of 3 % of the requests that they ran. If a single lost answer ejected a
+/// server, its objects would move to servers where they are cold.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -89,7 +94,8 @@
     assert!(fraction >= 0.9, "{fraction} good");
 }
 
-/// Load: a start. No server has reported its load, and each object is cold everywhere.
+/// Load: a start. No server has reported its load, and each object is cold everywhere. Sending the second request about
+/// an object elsewhere would add cold work.
 #[test]
 fn at_a_start_an_object_goes_to_its_home_first() {
     let specs = common::classes().into_iter().map(|spec| class::Spec { affinity: true, ..spec }).collect();
@@ -108,7 +114,7 @@
 }
 
 /// Load: entry instances that started at different times, after classes were added and removed, get requests about the
-/// same objects.
+/// same objects. If an object's home depended on the order of classes, each object would have several homes.
 #[test]
 fn all_daemons_send_an_object_to_the_same_home_whatever_the_order_of_their_classes() {
     let now = Time::from_millis(1_000);
@@ -119,18 +125,19 @@
         engine.set_backends((1..=9).map(|id| common::backend(id, Place::Region)).collect(), now);
         engine
     };
-    let (mut old, mut young) = (engine(vec![one.clone(), two.clone()]), engine(vec![two, one]));
+    let (mut early, mut late) = (engine(vec![one.clone(), two.clone()]), engine(vec![two, one]));
     let home = |engine: &mut Engine, class: usize, object: u64| {
         engine.submit(Arrival { object: Some(object), ..Arrival::new(object, class, object, 10) }, now);
         let server = |action| if let Action::Start { backend, .. } = action { Some(backend) } else { None };
         engine.take_actions().into_iter().find_map(server)
     };
     for object in 1..=9 {
-        assert_eq!(home(&mut old, 1, object), home(&mut young, 0, object), "object {object}");
+        assert_eq!(home(&mut early, 1, object), home(&mut late, 0, object), "object {object}");
     }
 }
 
-/// Load: more requests about objects than all servers can take. An answer frees a slot at one server only.
+/// Load: more requests about objects than all servers can take. An answer frees a slot at one server only;
+/// trying all waiting requests for it costs too much.
 #[test]
 fn an_answer_rechecks_only_requests_that_wait_for_its_server() {
     const WAITING: u64 = 200;
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that always hold: second sends, slow starts, regions, shares of services, work that must not be cancelled.
+//! Limits that always hold: retries, slow starts, regions, shares of services, work that must not be cancelled.
 
 mod common;
 
@@ -35,11 +35,12 @@
     engine.take_actions().into_iter().filter_map(start).collect()
 }
 
-/// Load: a whole service is full. Every attempt is shed, and would be retried elsewhere.
+/// Load: a whole service is full. Every attempt is shed, and would be retried elsewhere, which multiplies
+/// the load.
 #[rstest]
 #[case::a_fifth(0.2, 3.0)]
 #[case::none(0.0, 0.0)]
-fn second_sends_of_a_service_stay_within_their_budget(#[case] ratio: f64, #[case] burst: f64) {
+fn retries_of_a_service_stay_within_their_budget(#[case] ratio: f64, #[case] burst: f64) {
     let budgets =
         Budgets { retry_ratio: 1.0, retry_burst: 100.0, repeat_ratio: ratio, repeat_burst: burst, ..Budgets::DEFAULT };
     let servers = (1..=9).map(|id| backend(id, Place::Domain)).collect();
@@ -59,7 +60,7 @@
     assert!(f64::from(sends) <= 200.0 * (1.0 + ratio) + burst, "{sends} sends for 200 requests");
 }
 
-/// Load: a server has just started, and more requests arrive than it may get.
+/// Load: a server has just started, and more requests arrive than it may get while it is cold.
 #[rstest]
 #[case::ours(4.0, 4 + 1)]
 #[case::left_to_others(0.0, 0)]
--- a/crates/dispatch/tests/shed.rs
+++ b/crates/dispatch/tests/shed.rs
@@ -39,7 +39,7 @@
     }
     engine.finish(attempt, Ending::Shed, NOW);
     let after = |action| match action {
-        Action::Answer { retry_after: after, .. } => after,
+        Action::Answer { retry_after, .. } => retry_after,
         _ => None,
     };
     engine.take_actions().into_iter().find_map(after).expect("the caller gets a retry time")
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -332,7 +332,7 @@
         }
     }
 
-    /// Returns the records for the next message: those with the most sends left first.
+    /// Returns the records for the next message: those that are still to be sent most often first.
     fn next_records(&mut self) -> Vec<Record> {
         let mut pending: Vec<(u32, String)> = self
             .members
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -1,7 +1,7 @@
 //! Selection of the source from which a daemon learns of changes in the platform's store.
 //!
 //! Load pattern: each call of the store costs money, and hundreds of daemons need the same data. All daemons rank the
-//! living daemons in the same order. In each region, the first-ranked daemon (the region leader) watches the store. The
+//! live daemons in the same order. In each region, the first-ranked daemon (the region leader) watches the store. The
 //! first-ranked daemon of each other failure domain (a domain leader) learns from the region leader, and the other
 //! daemons learn from the leader of their failure domain. So the number of calls and the bytes between regions grow
 //! with the number of regions, and the bytes between failure domains with the number of failure domains.
@@ -32,7 +32,7 @@
     Store,
     /// The region leader, by name; it watches the store.
     RegionLeader(&'a str),
-    /// The leader of the daemon's failure domain, by name; it learns from the region leader.
+    /// The leader of the daemon's failure domain, by name; it learns of changes from the region leader.
     DomainLeader(&'a str),
 }
 
@@ -48,7 +48,7 @@
 
 /// Returns the source of the daemon `own`.
 ///
-/// `region` maps the living daemons of its region, `own` among them, to their failure domains. A daemon that is not in
+/// `region` maps the live daemons of its region, `own` among them, to their failure domains. A daemon that is not in
 /// the map asks the store.
 pub fn choose<'a>(own: &str, region: &BTreeMap<&'a str, &'a str>) -> Source<'a> {
     let Some(domain) = region.get(own) else { return Source::Store };
--- a/crates/fleet/tests/roster.rs
+++ b/crates/fleet/tests/roster.rs
@@ -47,8 +47,8 @@
             let name = format!("n{number}");
             let mut roster = Roster::new(record(&name, 1), TIMEOUTS, number as u64);
             for other in (0..count).filter(|other| *other != number) {
-                let mut hello = Roster::new(record(&format!("n{other}"), 1), TIMEOUTS, 0);
-                roster.merge(&hello.message(0, Time::ZERO), Time::ZERO);
+                let mut peer = Roster::new(record(&format!("n{other}"), 1), TIMEOUTS, 0);
+                roster.merge(&peer.message(0, Time::ZERO), Time::ZERO);
             }
             rosters.insert(name, roster);
         }
--- a/crates/fleet/tests/source.rs
+++ b/crates/fleet/tests/source.rs
@@ -87,7 +87,7 @@
     backoff.record_failure("e-1", later);
     assert!(
         !backoff.is_active("e-1", later + Duration::from_secs(4)),
-        "it did not fail for a long time, so its backoff started anew"
+        "it did not fail for a long time, so its backoff starts from the initial one"
     );
 }
 
--- a/crates/h1/src/client.rs
+++ b/crates/h1/src/client.rs
@@ -82,7 +82,8 @@
 }
 
 impl Answer {
-    /// Returns how long the server keeps an idle connection, from its `Keep-Alive` header; `None` if it does not say.
+    /// Returns how long the server keeps an idle connection, from its `Keep-Alive` header; `None` if it declares no
+    /// timeout.
     pub fn keep_alive_timeout(&self) -> Option<Duration> {
         let value = head::text(&self.headers, &HeaderName::from_static("keep-alive"))?;
         let mut fields = value.split(',').filter_map(|field| field.trim().split_once('='));
--- a/crates/h1/src/encode.rs
+++ b/crates/h1/src/encode.rs
@@ -19,7 +19,8 @@
     out.put_slice(b"\r\n");
 }
 
-/// Writes the head of an answer whose body has `length` bytes; `None` if its status allows no body.
+/// Writes the head of an answer whose body has `length` bytes; `None` if its status allows no body. `close`
+/// announces that the connection is closed after the answer.
 pub fn response(out: &mut BytesMut, status: StatusCode, headers: &HeaderMap, length: Option<usize>, close: bool) {
     out.reserve(256);
     let reason = status.canonical_reason().unwrap_or("Unknown");
--- a/crates/ledger/src/acquire.rs
+++ b/crates/ledger/src/acquire.rs
@@ -96,8 +96,8 @@
 
     /// Returns the next call, or the result, after `reply`.
     ///
-    /// A claim counts as ours only after a write made for this send took effect: another daemon may have been told that
-    /// the request of an older claim of ours never ran, and may be taking that claim over.
+    /// A claim counts as ours only after a write made for this send took effect: another daemon may have got
+    /// [`Status::NeverRun`] for an older claim of ours, and may be taking that claim over.
     pub fn handle<A>(&self, reply: Reply<A>, now: Time) -> Action<A> {
         let expired = now >= self.deadline;
         match reply {
--- a/crates/ledger/src/table.rs
+++ b/crates/ledger/src/table.rs
@@ -35,7 +35,7 @@
     Unsent,
     /// The request ran or may have run.
     Done,
-    /// Another daemon was told that the request never runs here under this claim.
+    /// Another daemon got [`Status::NeverRun`] for the key: the request never runs here under this claim.
     Yielded,
 }
 
@@ -148,7 +148,7 @@
     /// Whether `key` is being claimed and nothing was sent for it, so that a stored claim of ours is unused.
     ///
     /// Such a claim may be replaced by compare-and-swap at its revision. It counts as ours only after that: a peer that
-    /// was told [`Status::NeverRun`] may be taking it over at the same revision.
+    /// got [`Status::NeverRun`] may be taking it over at the same revision.
     pub fn is_unsent(&self, key: u128) -> bool {
         self.entries.get(&key).is_some_and(|entry| entry.state == State::Claiming)
     }
--- a/crates/steer/src/by_region.rs
+++ b/crates/steer/src/by_region.rs
@@ -15,9 +15,9 @@
         });
         allowed.map(|(position, _)| position as u16).take(limit).collect::<Vec<_>>()
     };
-    let attempts =
+    let preferences =
         [(Standing::Good, true), (Standing::Good, false), (Standing::Doubtful, true), (Standing::Doubtful, false)];
-    attempts
+    preferences
         .into_iter()
         .map(|(worst, own_region)| matching(worst, own_region))
         .find(|found| !found.is_empty())
--- a/crates/steer/src/grant.rs
+++ b/crates/steer/src/grant.rs
@@ -39,8 +39,8 @@
 
 /// Returns the allowance of a daemon that holds `share` (0 to 1) of its region's grants.
 ///
-/// The other region can run `slots` requests at once and can be used from `sources` regions; the link's cap is `cap` bytes
-/// a second. Summed over all daemons, requests stay within half of the slots and bytes below the cap.
+/// The other region can run `slots` requests at once and can be used from `sources` regions; the link's cap is `cap`
+/// bytes a second. Summed over all daemons, requests stay within half of the slots and bytes below the cap.
 pub fn allowance(slots: u32, sources: usize, cap: f64, share: f64) -> Allowance {
     let requests = f64::from(slots) * REMOTE_FRACTION / sources.max(1) as f64 * share;
     Allowance { max_requests: requests.floor() as u32, bytes_per_second: cap * LINK_FRACTION * share }
@@ -66,6 +66,7 @@
 pub struct Manager {
     /// Revisions of the slots held, by number.
     held: BTreeMap<u32, u64>,
+    /// Whether the daemon has a lease.
     leased: bool,
     /// Until when the slots may be used.
     valid_until: Time,
@@ -162,7 +163,7 @@
         self.held.remove(&number);
     }
 
-    /// Compares the slots held with the fair share.
+    /// Returns the operation that brings the slots held to the fair share.
     fn balance(&self, live: usize) -> Plan {
         let fair = (SLOTS / live.max(1) as u32).max(1);
         let held = self.held.len() as u32;
--- a/crates/steer/src/view.rs
+++ b/crates/steer/src/view.rs
@@ -13,7 +13,7 @@
 /// Marks the unused places of a ranked list.
 const NO_ENTRY: u16 = u16::MAX;
 
-/// How far an entry instance may be named to callers.
+/// Whether an entry instance may be named to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
     /// It serves.
@@ -35,7 +35,7 @@
     pub region: RegionId,
     /// A number that identifies its failure domain.
     pub domain: u16,
-    /// How far it may be named to callers.
+    /// Whether it may be named to callers.
     pub standing: Standing,
 }
 
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -7,7 +7,7 @@
 use crate::Entry;
 use crate::call::Event;
 
-/// Bytes of values in one message at most; a larger value is sent in a message of its own.
+/// Maximum number of bytes of values in one message; a larger value is sent in a message of its own.
 pub const MAX_PAGE_BYTES: usize = 400_000;
 
 /// A value; text is kept as such, because it is shorter in JSON than a list of numbers, and most values are text.
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -22,7 +22,7 @@
 const ANSWER_BUDGET_BYTES: usize = 16 << 20;
 /// Longest time for which an idle connection is kept.
 const MAX_IDLE: Duration = Duration::from_secs(5);
-/// Idle connections kept at most.
+/// Maximum number of idle connections that are kept.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// The runtime that drives the sockets of blocking calls.
@@ -185,7 +185,7 @@
     }
 }
 
-/// The error for a reply to another kind of call: whether the call took effect is unknown.
+/// Returns the error for a reply to another kind of call: whether the call took effect is unknown.
 fn unexpected(reply: &Reply) -> Error {
     Error::Ambiguous(format!("unexpected reply: {reply:?}"))
 }
--- a/crates/store/src/mirror/mod.rs
+++ b/crates/store/src/mirror/mod.rs
@@ -1,6 +1,6 @@
 //! A mirror of a part of the store, built from a list of keys and the changes after it.
 //!
-//! A key that is missing soon after an outage of the store may have been deleted with a lease that nobody could renew;
+//! A key that is missing soon after an outage of the store may have been deleted with a lease that its holder could not renew;
 //! it is kept for a grace period, in which its writer can write it again.
 
 mod relay;
@@ -19,7 +19,7 @@
 /// Calls must have failed for this long for leases to have expired; a lost connection alone is not an outage.
 const MIN_OUTAGE: Duration = Duration::from_millis(300);
 
-/// Deletions that are remembered for other mirrors.
+/// Maximum number of deletions that are kept for other mirrors.
 const MAX_TOMBSTONES: usize = 4_096;
 
 /// A key as it was last seen.
@@ -52,6 +52,7 @@
     confirmed_at: Option<Time>,
     /// Keys deleted after the revision `tombstones_since`, in the order in which the deletions became known.
     tombstones: VecDeque<(String, u64)>,
+    /// Revision after which `tombstones` has all deletions.
     tombstones_since: u64,
 }
 
@@ -215,9 +216,9 @@
     fn record_tombstone(&mut self, key: &str, revision: u64) {
         self.tombstones.push_back((key.to_owned(), revision));
         if self.tombstones.len() > MAX_TOMBSTONES
-            && let Some((_, forgotten)) = self.tombstones.pop_front()
+            && let Some((_, removed)) = self.tombstones.pop_front()
         {
-            self.tombstones_since = self.tombstones_since.max(forgotten);
+            self.tombstones_since = self.tombstones_since.max(removed);
         }
     }
 
