--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -244,7 +244,7 @@
     match fault {
         Fault::Unsent => Ending::Unreachable,
         Fault::Lost => Ending::Lost,
-        Fault::Cut | Fault::Malformed | Fault::Endless => Ending::Cut,
+        Fault::Cut | Fault::Malformed | Fault::LimitExceeded => Ending::Cut,
         Fault::TooLarge => Ending::TooLarge,
     }
 }
--- a/crates/h1/src/client.rs
+++ b/crates/h1/src/client.rs
@@ -46,7 +46,7 @@
     TooLarge,
     /// The received bytes exceed a limit: of the head, of the body, of the memory budget, or of skipped answers.
     #[error("the answer exceeds a limit")]
-    Endless,
+    LimitExceeded,
 }
 
 /// A request.
@@ -224,7 +224,7 @@
     fn append(&mut self, part: &[u8]) -> Result<(), Fault> {
         self.length += part.len();
         if self.length > self.call.max_answer_bytes || (!self.stray && !self.reservation.grow(part.len())) {
-            return Err(Fault::Endless);
+            return Err(Fault::LimitExceeded);
         }
         if !self.stray {
             self.body.extend_from_slice(part);
@@ -242,7 +242,7 @@
             self.stray = !interim && !is_ours(&head);
             self.skipped += usize::from(interim || self.stray);
             if self.skipped > MAX_SKIPPED {
-                return Err(Fault::Endless);
+                return Err(Fault::LimitExceeded);
             }
             if interim {
                 continue;
@@ -286,7 +286,7 @@
 
 fn fault(error: Error) -> Fault {
     match error {
-        Error::HeadTooLarge | Error::BodyTooLarge => Fault::Endless,
+        Error::HeadTooLarge | Error::BodyTooLarge => Fault::LimitExceeded,
         Error::Cut => Fault::Cut,
         Error::Malformed | Error::Ambiguous => Fault::Malformed,
     }
--- a/crates/h1/tests/client.rs
+++ b/crates/h1/tests/client.rs
@@ -147,7 +147,7 @@
         let mut connection = Connection::open(address, Duration::from_secs(5)).await.expect("the server listens");
         send(&mut connection, "new", &Bytes::new()).await.expect_err("it is not an answer")
     });
-    assert!(matches!(fault, Fault::Endless | Fault::Malformed), "{fault:?}");
+    assert!(matches!(fault, Fault::LimitExceeded | Fault::Malformed), "{fault:?}");
     end.recv().expect("the connection is closed, so that the server stops");
 }
 
