--- a/crates/base/src/error.rs
+++ b/crates/base/src/error.rs
@@ -48,7 +48,7 @@
     QueueFull,
     /// The work cannot finish before its deadline.
     WontFinish,
-    /// The deadline passed before the request was sent to a backend server.
+    /// The deadline passed while the request waited for a backend server.
     Expired,
     /// No backend server can take the work.
     NoBackend,
@@ -87,7 +87,7 @@
     pub status: u16,
     /// What the caller may conclude.
     pub outcome: Outcome,
-    /// Seconds after which a caller should try again; `None` if it should not.
+    /// Seconds after which a caller should retry; `None` if it should not.
     pub retry_after_s: Option<u32>,
     /// Whether the connection must be closed after the answer.
     pub close: bool,
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -77,9 +77,11 @@
     /// Running average of this daemon's attempts in flight.
     average_in_flight: f64,
     average_updated_at: Time,
+    /// Running average of the latency, as a multiple of the typical latency.
     latency_ratio: f64,
     late_in_row: u32,
     lost_in_row: u32,
+    /// Ejections in a row.
     ejections: u32,
     /// No work is sent before this time, as the server was ejected or shed a request.
     unavailable_until: Time,
@@ -97,6 +99,7 @@
     answers: u32,
     /// Limits the rate of requests to a server in slow start.
     slow_start_bucket: Bucket,
+    /// Last reported pace: how long work takes, as a multiple of the usual time.
     pace: f64,
     pace_reported_at: Time,
     /// Work of other daemons, in requests, by the last report in an answer, with the time of that report.
--- a/crates/dispatch/src/engine/keyed.rs
+++ b/crates/dispatch/src/engine/keyed.rs
@@ -119,14 +119,14 @@
                 available && class.allows(server.spec.region)
             })
         };
-        let mut first = None;
+        let mut highest = None;
         for id in servers {
             let rank = hash::combine(object, u64::from(*id));
-            if first.is_none_or(|(best, _)| rank > best) && usable(id) {
-                first = Some((rank, *id));
+            if highest.is_none_or(|(best, _)| rank > best) && usable(id) {
+                highest = Some((rank, *id));
             }
         }
-        first.map(|(_, id)| id)
+        highest.map(|(_, id)| id)
     }
 
     /// Returns the share of a service's objects whose primary home is near: all of them, or fewer where the region has
--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -210,10 +210,10 @@
         if object.is_some() {
             return self.place(request, now);
         }
-        let first = self.classes[class].queue.is_empty();
+        let queue_was_empty = self.classes[class].queue.is_empty();
         self.enqueue(request, false);
         // If others of its class wait already, the request cannot be placed either.
-        if first {
+        if queue_was_empty {
             self.dispatch_class(class, now);
         }
         if self.queued > 0 {
--- a/crates/dispatch/src/engine/pick.rs
+++ b/crates/dispatch/src/engine/pick.rs
@@ -21,8 +21,8 @@
 const REMOTE_WAIT_THRESHOLD: Duration = Duration::from_millis(30);
 /// Latency ratio from which a server is slow enough to consider another region.
 const SLOW_RATIO: f64 = 3.0;
-/// How many times slower than a server of another region a near one must be to lose the request to it.
-const MIN_FAR_SPEEDUP: f64 = 1.5;
+/// How many times slower than a server of another region a local one must be to lose the request to it.
+const MIN_REMOTE_SPEEDUP: f64 = 1.5;
 /// Cost of a server in another failure domain, in requests.
 const DOMAIN_COST: f64 = 0.2;
 /// Maximum fraction of a tier's servers that may be ejected for late answers at the same time.
@@ -50,21 +50,21 @@
             return backend;
         }
         let service = usize::from(state.service);
-        let near = self.pick_tier(service, 0, &state, now);
+        let local = self.pick_tier(service, 0, &state, now);
         let slow =
-            near.and_then(|id| self.backends.get(&id)).is_some_and(|server| server.latency_ratio() >= SLOW_RATIO);
-        let try_far = if near.is_some() { slow } else { self.remote_allowed(service, &state, now) };
-        if !try_far || (slow && self.classes[state.class].spec.may_wait) {
-            return near;
+            local.and_then(|id| self.backends.get(&id)).is_some_and(|server| server.latency_ratio() >= SLOW_RATIO);
+        let try_remote = if local.is_some() { slow } else { self.remote_allowed(service, &state, now) };
+        if !try_remote || (slow && self.classes[state.class].spec.may_wait) {
+            return local;
         }
-        let far = self.pick_tier(service, 1, &state, now);
-        if slow && !self.far_is_faster(far, near) { near } else { far.or(near) }
+        let remote = self.pick_tier(service, 1, &state, now);
+        if slow && !self.remote_is_faster(remote, local) { local } else { remote.or(local) }
     }
 
-    /// Returns whether requests at `far` are sufficiently faster than at `near`, network latency included.
-    fn far_is_faster(&self, far: Option<BackendId>, near: Option<BackendId>) -> bool {
+    /// Returns whether requests at `remote` are sufficiently faster than at `local`, network latency included.
+    fn remote_is_faster(&self, remote: Option<BackendId>, local: Option<BackendId>) -> bool {
         let ratio = |id: Option<BackendId>| id.and_then(|id| self.backends.get(&id)).map(Backend::latency_ratio);
-        matches!((ratio(far), ratio(near)), (Some(far), Some(near)) if far * MIN_FAR_SPEEDUP < near)
+        matches!((ratio(remote), ratio(local)), (Some(remote), Some(local)) if remote * MIN_REMOTE_SPEEDUP < local)
     }
 
     /// Starts an attempt of `request` at `backend`.
@@ -228,6 +228,8 @@
         self.links.get(&region).is_some_and(|link| link.max_in_flight > 0)
     }
 
+    /// Picks a server of this region (`tier` 0) or of the other regions (`tier` 1): the best of some random usable
+    /// ones.
     fn pick_tier(&mut self, service: usize, tier: usize, state: &Request, now: Time) -> Option<BackendId> {
         let members = &self.tiers.get(service)?[tier];
         if members.is_empty() {
@@ -272,6 +274,7 @@
         true
     }
 
+    /// Returns whether a server can take the request now, as far as known.
     fn usable(&self, server: &Backend, state: &Request, now: Time) -> bool {
         if server.leaving() || server.unavailable(now) || server.in_flight >= server.limit() {
             return false;
--- a/crates/dispatch/src/engine/policy.rs
+++ b/crates/dispatch/src/engine/policy.rs
@@ -29,14 +29,14 @@
     pub(super) fn pick_plain(&mut self, request: u64) -> Option<BackendId> {
         let state = self.requests.get(&request)?;
         let service = usize::from(state.service);
-        let [near, far] = self.tiers.get(service)?;
+        let [local, remote] = self.tiers.get(service)?;
         let usable = |ids: &[BackendId]| -> Vec<BackendId> {
             let in_service = ids.iter().filter(|id| self.backends.get(id).is_some_and(|server| !server.spec.leaving));
             in_service.copied().collect()
         };
-        let mut members = usable(near);
+        let mut members = usable(local);
         if members.is_empty() {
-            members = usable(far);
+            members = usable(remote);
         }
         if members.is_empty() {
             return None;
--- a/crates/dispatch/src/engine/update.rs
+++ b/crates/dispatch/src/engine/update.rs
@@ -27,7 +27,7 @@
     /// Sets the backend servers in use. Known servers keep their observed state; removed ones stay, as leaving, while
     /// attempts run there.
     pub fn set_backends(&mut self, specs: Vec<Spec>, now: Time) {
-        let mut kept = BTreeMap::new();
+        let mut in_use = BTreeMap::new();
         for spec in specs {
             let known = self.backends.remove(&spec.id);
             let mut backend = match known {
@@ -38,16 +38,16 @@
                 None => Backend::new(spec, now),
             };
             backend.apply_announcement(self.announcements.get(backend.spec.id), now);
-            kept.insert(backend.spec.id, backend);
+            in_use.insert(backend.spec.id, backend);
         }
         for (id, mut removed) in std::mem::take(&mut self.backends) {
             if removed.in_flight > 0 {
                 removed.spec.leaving = true;
-                kept.insert(id, removed);
+                in_use.insert(id, removed);
             }
         }
-        self.warmth.retain(|id| kept.contains_key(&id));
-        self.backends = kept;
+        self.warmth.retain(|id| in_use.contains_key(&id));
+        self.backends = in_use;
         self.rebuild_tiers();
         self.dispatch_waiting(now);
     }
--- a/crates/dispatch/src/samples.rs
+++ b/crates/dispatch/src/samples.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Number of recent durations that are kept.
+/// Maximum number of recent durations that are kept.
 const MAX_TIMES: usize = 128;
 /// Number of new durations after which the median is computed again.
 const REFRESH_INTERVAL: usize = 16;
--- a/crates/dispatch/tests/announcements.rs
+++ b/crates/dispatch/tests/announcements.rs
@@ -177,7 +177,7 @@
 #[rstest]
 #[case::one(1, 0.85)]
 #[case::a_third(5, 0.6)]
-fn a_pause_is_kept_and_the_others_serve(#[case] servers: usize, #[case] min_good: f64) {
+fn a_paused_server_gets_nothing_and_the_others_serve(#[case] servers: usize, #[case] min_good: f64) {
     let mut cluster = Cluster::new(&[4, 6, 6], 3);
     cluster.run(SECOND * 9, 30.0, 40);
     let until = cluster.now + SECOND * 4;
--- a/crates/dispatch/tests/common/cluster.rs
+++ b/crates/dispatch/tests/common/cluster.rs
@@ -189,24 +189,24 @@
         let end = self.now + time;
         let mut due: Vec<Time> = (0..3).map(|_| self.now).collect();
         while self.now < end {
-            let caller = (0..3).min_by_key(|region| due[*region]).unwrap_or(0);
-            self.advance(due[caller].min(end));
-            if due[caller] >= end {
+            let region = (0..3).min_by_key(|region| due[*region]).unwrap_or(0);
+            self.advance(due[region].min(end));
+            if due[region] >= end {
                 break;
             }
-            let object = 1_000 * caller as u64 + self.next_object(caller, objects);
-            self.submit(caller as u16, object);
+            let object = 1_000 * region as u64 + self.next_object(region, objects);
+            self.submit(region as u16, object);
             let pause = -(1.0 - self.rng.f64()).ln() / per_second;
-            due[caller] = due[caller] + Duration::from_secs_f64(pause);
+            due[region] = due[region] + Duration::from_secs_f64(pause);
         }
     }
 
-    fn next_object(&mut self, caller: usize, objects: u64) -> u64 {
-        if self.rounds[caller].is_empty() {
-            self.rounds[caller] = (0..objects).collect();
-            self.rng.shuffle(&mut self.rounds[caller]);
+    fn next_object(&mut self, region: usize, objects: u64) -> u64 {
+        if self.rounds[region].is_empty() {
+            self.rounds[region] = (0..objects).collect();
+            self.rng.shuffle(&mut self.rounds[region]);
         }
-        self.rounds[caller].pop().unwrap_or(0)
+        self.rounds[region].pop().unwrap_or(0)
     }
 
     /// Submits a request to a random engine of `region`.
--- a/crates/ledger/src/cache.rs
+++ b/crates/ledger/src/cache.rs
@@ -19,7 +19,8 @@
         Self { max_bytes, bytes: 0, answers: BTreeMap::new(), order: VecDeque::new() }
     }
 
-    /// Stores an answer of `bytes` bytes and evicts the oldest ones beyond the limit; an answer larger than the limit is not stored.
+    /// Stores an answer of `bytes` bytes and evicts the oldest ones beyond the limit; an answer larger than the
+    /// limit is not stored.
     pub fn put(&mut self, key: u128, answer: A, bytes: u64) {
         if bytes > self.max_bytes {
             return;
--- a/crates/ledger/tests/once.rs
+++ b/crates/ledger/tests/once.rs
@@ -13,7 +13,7 @@
 use proptest::strategy::ValueTree as _;
 use store::{Change, Commit, key};
 
-const NODES: usize = 3;
+const DAEMONS: usize = 3;
 const KEYS: u128 = 2;
 const FINGERPRINT: u64 = 7;
 const LIMITS: Limits = Limits { retention: Duration::from_hours(24), max_session_keys: 8, max_answer_bytes: 1_000 };
@@ -54,7 +54,7 @@
 /// One send of a request to a daemon.
 #[derive(Debug, Clone)]
 struct Send {
-    node: usize,
+    daemon: usize,
     incarnation: u64,
     key: u128,
     stage: Stage,
@@ -63,7 +63,7 @@
 struct World {
     method: Method,
     store: State,
-    nodes: Vec<(u64, Ledger<u64>)>,
+    daemons: Vec<(u64, Ledger<u64>)>,
     sends: Vec<Send>,
     late: Vec<Change>,
     runs: BTreeMap<u128, u32>,
@@ -81,25 +81,25 @@
 
 impl World {
     fn new(method: Method) -> Self {
-        let nodes = (1..=NODES as u64).map(|incarnation| (incarnation, Ledger::new(LIMITS))).collect();
+        let daemons = (1..=DAEMONS as u64).map(|incarnation| (incarnation, Ledger::new(LIMITS))).collect();
         let (sends, late, runs) = (Vec::new(), Vec::new(), BTreeMap::new());
-        Self { method, store: State::new(), nodes, sends, late, runs, next_incarnation: 100 }
+        Self { method, store: State::new(), daemons, sends, late, runs, next_incarnation: 100 }
     }
 
     fn play(&mut self, event: Event) {
         match event {
-            Event::Send(node, key) => {
-                let incarnation = self.nodes[node].0;
-                self.sends.push(Send { node, incarnation, key, stage: Stage::New });
+            Event::Send(daemon, key) => {
+                let incarnation = self.daemons[daemon].0;
+                self.sends.push(Send { daemon, incarnation, key, stage: Stage::New });
             }
             Event::Step(which, fault, ending) => {
                 if let Some(index) = which.checked_rem(self.sends.len()) {
                     self.step(index, fault, ending);
                 }
             }
-            Event::Kill(node) => {
+            Event::Kill(daemon) => {
                 self.next_incarnation += 1;
-                self.nodes[node] = (self.next_incarnation, Ledger::new(LIMITS));
+                self.daemons[daemon] = (self.next_incarnation, Ledger::new(LIMITS));
             }
             Event::DeliverLate(which) => {
                 if let Some(index) = which.checked_rem(self.late.len()) {
@@ -112,7 +112,7 @@
 
     fn step(&mut self, index: usize, fault: Fault, ending: u8) {
         let send = self.sends[index].clone();
-        if self.nodes[send.node].0 != send.incarnation {
+        if self.daemons[send.daemon].0 != send.incarnation {
             self.sends[index].stage = Stage::Ended;
             return;
         }
@@ -128,7 +128,7 @@
     }
 
     fn begin(&mut self, send: &Send) -> Stage {
-        let ledger = &mut self.nodes[send.node].1;
+        let ledger = &mut self.daemons[send.daemon].1;
         match ledger.begin(send.key, FINGERPRINT, false, Time::ZERO) {
             Admission::Claim => {
                 ledger.record_claim_sent(send.key);
@@ -169,7 +169,7 @@
     }
 
     fn ask(&mut self, claim: &Claim, key: u128, fault: Fault) -> Status<u64> {
-        let claimant = self.nodes.iter_mut().find(|(incarnation, _)| *incarnation == claim.incarnation);
+        let claimant = self.daemons.iter_mut().find(|(incarnation, _)| *incarnation == claim.incarnation);
         match (claimant, fault) {
             (Some((_, ledger)), Fault::None | Fault::Late) => ledger.status(key, Time::ZERO),
             // The call arrives and its answer is lost.
@@ -214,7 +214,7 @@
             Action::Call(call) => Stage::Calling(acquisition, call),
             Action::Finish(outcome) => {
                 let revision = if let Outcome::Acquired(revision) = outcome { revision } else { 0 };
-                match self.nodes[send.node].1.finish_claim(send.key, outcome, Time::ZERO) {
+                match self.daemons[send.daemon].1.finish_claim(send.key, outcome, Time::ZERO) {
                     Admission::Run => Stage::Ready(revision),
                     Admission::Claim | Admission::Replay(_) | Admission::Refuse(_) => Stage::Ended,
                 }
@@ -225,16 +225,16 @@
     /// The backend server runs the request, loses the connection after running it, or sheds it.
     fn run(&mut self, send: &Send, revision: u64, fault: Fault, ending: u8) -> Stage {
         if ending % 3 == 2 {
-            let release = self.nodes[send.node].1.record_failure(send.key, Kind::Shed, Time::ZERO);
+            let release = self.daemons[send.daemon].1.record_failure(send.key, Kind::Shed, Time::ZERO);
             assert!(release, "a claim that never ran is released");
             let deleted = self.write(Change::delete(&key::claim(send.key), revision), fault);
             if matches!(deleted, Reply::Written(_)) {
-                self.nodes[send.node].1.record_release(send.key);
+                self.daemons[send.daemon].1.record_release(send.key);
             }
             return Stage::Ended;
         }
         *self.runs.entry(send.key).or_default() += 1;
-        let ledger = &mut self.nodes[send.node].1;
+        let ledger = &mut self.daemons[send.daemon].1;
         if ending.is_multiple_of(3) {
             ledger.record_answer(send.key, 1, 10, Time::ZERO);
         } else {
@@ -256,9 +256,9 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        3 => (0..NODES, 0..KEYS).prop_map(|(node, key)| Event::Send(node, key)),
+        3 => (0..DAEMONS, 0..KEYS).prop_map(|(daemon, key)| Event::Send(daemon, key)),
         12 => (any::<usize>(), fault(), any::<u8>()).prop_map(|(which, fault, ending)| Event::Step(which, fault, ending)),
-        1 => (0..NODES).prop_map(Event::Kill),
+        1 => (0..DAEMONS).prop_map(Event::Kill),
         2 => any::<usize>().prop_map(Event::DeliverLate),
     ]
 }
--- a/crates/store/src/mirror/mod.rs
+++ b/crates/store/src/mirror/mod.rs
@@ -1,7 +1,7 @@
 //! A mirror of a part of the store, built from a list of keys and the changes after it.
 //!
-//! A key that is missing soon after an outage of the store may have been deleted with a lease that its holder could not renew;
-//! it is kept for a grace period, in which its writer can write it again.
+//! A key that is missing soon after an outage of the store may have been deleted with a lease that its holder could not
+//! renew; it is kept for a grace period, in which its writer can write it again.
 
 mod relay;
 
--- a/crates/store/src/mirror/relay.rs
+++ b/crates/store/src/mirror/relay.rs
@@ -85,8 +85,8 @@
     }
 
     /// Adopts the sender's grace period if the sender has had contact with the store without interruption: then its
-    /// state shows whether there was an outage, while our own calls may have failed for another reason. A sender without
-    /// such contact can only prolong the grace period.
+    /// state shows whether there was an outage, while our own calls may have failed for another reason. A sender
+    /// without such contact can only prolong the grace period.
     fn merge_grace_period(&mut self, received: &Changes, elapsed: Duration, now: Time) {
         let grace_until = now + Duration::from_millis(received.grace_ms);
         if received.age(elapsed).is_none_or(|age| age >= MAX_CURRENT_AGE) {
