--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -28,7 +28,7 @@
 use crate::quarantine::Quarantine;
 use crate::warmth::Warmth;
 
-/// Interval at which waiting requests are tried again.
+/// Interval at which waiting requests are rechecked.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// The same while only held requests (those about objects) wait.
 const HELD_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -50,7 +50,7 @@
     timers: BTreeSet<(Time, Timer)>,
     /// Requests about objects that wait for one of their home servers, by service.
     held: BTreeMap<u16, Vec<u64>>,
-    /// When waiting requests are tried again; `None` if no recheck is scheduled.
+    /// When waiting requests are rechecked; `None` if no recheck is scheduled.
     recheck_at: Option<Time>,
     next_attempt: u64,
     picks: u64,
--- a/crates/dispatch/src/engine/queue.rs
+++ b/crates/dispatch/src/engine/queue.rs
@@ -141,7 +141,7 @@
         true
     }
 
-    /// Schedules another try of waiting requests: slots also become free when work of other daemons ends, which
+    /// Schedules a recheck of the waiting requests: slots also become free when work of other daemons ends, which
     /// this daemon does not observe.
     pub(super) fn schedule_recheck(&mut self, now: Time) {
         if self.recheck_at.is_none() {
--- a/crates/dispatch/src/engine/state.rs
+++ b/crates/dispatch/src/engine/state.rs
@@ -66,7 +66,7 @@
     Late(u64),
     /// The deadline of a request, by number, passes.
     Deadline(u64),
-    /// Waiting requests are tried again.
+    /// Waiting requests are rechecked: those that can be sent now are sent.
     Recheck,
 }
 
--- a/crates/dispatch/src/warmth.rs
+++ b/crates/dispatch/src/warmth.rs
@@ -37,7 +37,7 @@
         self.servers.get(&server).is_some_and(|objects| objects.contains(&object))
     }
 
-    /// Removes all objects of `server`, for use after its restart.
+    /// Removes all objects of `server`, as after its restart none is warm there.
     pub fn forget(&mut self, server: BackendId) {
         self.servers.remove(&server);
     }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -33,7 +33,7 @@
     fn close(&mut self) {}
 }
 
-/// The component of a plug-in that the settings do not need.
+/// A component that does nothing, for a plug-in that the settings do not need.
 #[derive(Debug, Clone, Copy)]
 pub struct Idle;
 
