--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -28,7 +28,7 @@
 use crate::quarantine::Quarantine;
 use crate::warmth::Warmth;
 
-/// Interval at which waiting requests are tried again.
+/// Interval at which waiting requests are rechecked.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// The same while only held requests (those about objects) wait.
 const HELD_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -50,7 +50,7 @@
     timers: BTreeSet<(Time, Timer)>,
     /// Requests about objects that wait for one of their home servers, by service.
     held: BTreeMap<u16, Vec<u64>>,
-    /// When waiting requests are tried again; `None` if no recheck is scheduled.
+    /// When waiting requests are rechecked; `None` if no recheck is scheduled.
     recheck_at: Option<Time>,
     next_attempt: u64,
     picks: u64,
@@ -149,7 +149,8 @@
         self.attempts.len()
     }
 
-    /// Returns how often a server has been picked, fruitless picks included: a measure of the cost of dispatch.
+    /// Returns how often a server was searched for a request, with or without success: a measure of the cost of
+    /// dispatch.
     pub const fn picks(&self) -> u64 {
         self.picks
     }
@@ -209,10 +210,10 @@
         if object.is_some() {
             return self.place(request, now);
         }
-        let first = self.classes[class].queue.is_empty();
+        let queue_was_empty = self.classes[class].queue.is_empty();
         self.enqueue(request, false);
         // If others of its class wait already, the request cannot be placed either.
-        if first {
+        if queue_was_empty {
             self.dispatch_class(class, now);
         }
         if self.queued > 0 {
