--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -60,7 +60,7 @@
     let mut plan = Plan {
         entries: deployment.entries().map(|entry| entry.address.clone()).collect(),
         flows: deployment.flows(options.per_second),
-        time: PART,
+        duration: PART,
         callers: 64,
         timeout: Duration::from_secs(30),
         resends: 2,
--- a/crates/demo/tests/common/mod.rs
+++ b/crates/demo/tests/common/mod.rs
@@ -54,7 +54,7 @@
         Plan {
             entries: self.deployment.entries().map(|entry| entry.address.clone()).collect(),
             flows,
-            time: Duration::from_secs(seconds),
+            duration: Duration::from_secs(seconds),
             callers,
             timeout: Duration::from_secs(20),
             resends: 8,
--- a/crates/load/src/answer.rs
+++ b/crates/load/src/answer.rs
@@ -38,7 +38,7 @@
 }
 
 /// Judges an answer by the echo of the stand-in for backend servers.
-pub fn judge(outcome: &str, body: &[u8], echo: &str, sent: &[u8]) -> Ending {
+pub fn classify(outcome: &str, body: &[u8], echo: &str, sent: &[u8]) -> Ending {
     match outcome {
         "not-run" => return Ending::NotRun,
         "unknown" => return Ending::Unknown,
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -32,7 +32,7 @@
     let mut plan = Plan {
         entries: Vec::new(),
         flows: Vec::new(),
-        time: Duration::from_secs(10),
+        duration: Duration::from_secs(10),
         callers: 64,
         timeout: Duration::from_secs(10),
         resends: 2,
@@ -44,7 +44,7 @@
             Long("help") | Short('h') => return Ok(None),
             Long("entry") => plan.entries.push(parser.value()?.string()?),
             Long("flow") => plan.flows.push(flow(&parser.value()?.string()?)?),
-            Long("seconds") => plan.time = Duration::from_secs(parser.value()?.parse()?),
+            Long("seconds") => plan.duration = Duration::from_secs(parser.value()?.parse()?),
             Long("callers") => plan.callers = parser.value()?.parse()?,
             Long("timeout-ms") => plan.timeout = Duration::from_millis(parser.value()?.parse()?),
             Long("resends") => plan.resends = parser.value()?.parse()?,
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -27,7 +27,7 @@
     /// Classes of requests.
     pub flows: Vec<Flow>,
     /// How long to send.
-    pub time: Duration,
+    pub duration: Duration,
     /// Callers that send; each waits for its answer before the next request.
     pub callers: usize,
     /// Longest time for one answer.
@@ -61,7 +61,7 @@
             let mut at = 0.0;
             loop {
                 at += -(1.0 - rng.f64()).ln() / spec.per_second;
-                if at >= self.time.as_secs_f64() {
+                if at >= self.duration.as_secs_f64() {
                     break;
                 }
                 arrivals.push(Arrival { at: Duration::from_secs_f64(at), flow, number: 0 });
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 
-use crate::answer::{Ending, judge};
+use crate::answer::{Ending, classify};
 use crate::plan::{Arrival, Plan};
 use crate::tally::Tally;
 
@@ -84,7 +84,7 @@
         let latency = start.elapsed().saturating_sub(arrival.at);
         let name = &self.plan.flows[arrival.flow].name;
         let resends = sends.min(self.plan.resends);
-        self.tallies.entry(name.clone()).or_default().note(ending, latency, resends);
+        self.tallies.entry(name.clone()).or_default().record(ending, latency, resends);
     }
 
     fn send_once(&mut self, arrival: &Arrival, echo: &str, turn: usize) -> Ending {
@@ -111,7 +111,7 @@
                 let outcome = response.headers().get("x-outcome").and_then(|value| value.to_str().ok());
                 let outcome = outcome.unwrap_or_default().to_owned();
                 match response.body_mut().with_config().limit(1 << 30).read_to_vec() {
-                    Ok(answer) => judge(&outcome, &answer, echo, &body),
+                    Ok(answer) => classify(&outcome, &answer, echo, &body),
                     Err(_) => Ending::Broken,
                 }
             }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -36,7 +36,7 @@
     }
 
     /// Counts one request.
-    pub fn note(&mut self, ending: Ending, latency: Duration, resends: u32) {
+    pub fn record(&mut self, ending: Ending, latency: Duration, resends: u32) {
         *self.endings.entry(ending).or_default() += 1;
         self.resends += u64::from(resends);
         if ending == Ending::Complete {
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use load::answer::{Ending, judge};
+use load::answer::{Ending, classify};
 
 /// Longest time for one answer.
 const TIMEOUT: Duration = Duration::from_secs(4);
@@ -80,7 +80,7 @@
                 let outcome = response.headers().get("x-outcome").and_then(|value| value.to_str().ok());
                 let outcome = outcome.unwrap_or_default().to_owned();
                 match response.body_mut().read_to_vec() {
-                    Ok(answer) => judge(&outcome, &answer, key, body),
+                    Ok(answer) => classify(&outcome, &answer, key, body),
                     Err(_) => Ending::Broken,
                 }
             }
