--- a/crates/replay/src/case.rs
+++ b/crates/replay/src/case.rs
@@ -1,43 +1,43 @@
-//! Seeded traces for the cases that are measured.
+//! The measured cases and their traces, generated from a seed.
 
 use std::time::Duration;
 
 use base::time::Time;
 
 use crate::site::Site;
-use crate::trace::{Event, Trace, What};
+use crate::trace::{Event, EventKind, Trace};
 
-/// Length of a case.
+/// Length of a case's trace.
 pub const LENGTH: Duration = Duration::from_mins(1);
-/// When a case's fault begins.
-const FAULT_AT: Duration = Duration::from_secs(15);
-/// When a case's fault ends, if it does.
-const FAULT_ENDS: Duration = Duration::from_secs(40);
-/// Callers of a region.
+/// Time at which a case's fault or load change begins.
+const FAULT_START: Duration = Duration::from_secs(15);
+/// Time at which it ends, in the cases where it does.
+const FAULT_END: Duration = Duration::from_secs(40);
+/// Number of callers in each region.
 const CALLERS: u32 = 400;
-/// Mean time of short work, in milliseconds.
-const SHORT_MS: f64 = 20.0;
-/// Mean time of waiting work, in milliseconds.
-const LONG_MS: f64 = 1_500.0;
+/// Mean duration of short work, in milliseconds.
+const SHORT_WORK_MS: f64 = 20.0;
+/// Mean duration of waiting work, in milliseconds.
+const WAITING_WORK_MS: f64 = 1_500.0;
 
-/// A measured case.
+/// A load and fault scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Case {
-    /// Half of the slots busy, waiting work among it.
+    /// About half of the slots are busy, some of them with waiting work.
     Steady,
-    /// A market day: load rises to nine tenths of the slots for a while.
+    /// A market day: for a while the load rises to nine tenths of the slots.
     Peak,
     /// A third of the servers take ten times as long, and reports are 5 s late.
     Slowed,
-    /// A region dies with its entry instances and servers.
+    /// A region fails with all its entry instances and servers.
     RegionGone,
-    /// A region comes back with cold caches.
+    /// A region fails and returns with cold caches.
     Cold,
     /// Load reports stop.
     Blind,
-    /// One request in two hundred takes fifty times as long.
+    /// One request in 200 takes 50 times as long.
     Stragglers,
-    /// A request stops each server that runs it, and is sent again and again.
+    /// A request crashes each server that runs it, and its caller keeps retrying it.
     Poison,
     /// Twice the usual waiting work.
     Bulk,
@@ -60,7 +60,7 @@
         Self::Leave,
     ];
 
-    /// A short name.
+    /// Returns the name on the command line and in the table.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -76,28 +76,28 @@
         }
     }
 
-    /// The case's trace for `site`.
+    /// Generates the trace of this case for `site`; equal seeds give equal traces.
     pub fn trace(self, site: &Site, seed: u64) -> Trace {
-        let mut maker = Maker { site, case: self, rng: fastrand::Rng::with_seed(seed), events: Vec::new() };
+        let mut generator = Generator { site, case: self, rng: fastrand::Rng::with_seed(seed), events: Vec::new() };
         for name in &site.classes {
-            maker.flow(name);
+            generator.add_requests(name);
         }
-        maker.faults();
-        maker.events.sort_by_key(|event| event.at);
-        Trace { events: maker.events }
+        generator.add_faults();
+        generator.events.sort_by_key(|event| event.at);
+        Trace { events: generator.events }
     }
 }
 
-struct Maker<'a> {
+struct Generator<'a> {
     site: &'a Site,
     case: Case,
     rng: fastrand::Rng,
     events: Vec<Event>,
 }
 
-impl Maker<'_> {
-    /// Part of its service's slots that a class keeps busy on average.
-    fn part(&self, name: &str) -> f64 {
+impl Generator<'_> {
+    /// Returns the fraction of its service's slots that a class keeps busy on average.
+    fn utilization(&self, name: &str) -> f64 {
         let class = &self.site.policy.classes[name];
         let bulk = if self.case == Case::Bulk { 0.24 } else { 0.12 };
         match (class.may_wait, class.idempotent) {
@@ -107,15 +107,16 @@
         }
     }
 
-    fn flow(&mut self, name: &str) {
+    /// Adds the requests of a class: Poisson arrivals from random callers of random regions.
+    fn add_requests(&mut self, name: &str) {
         let class = self.site.policy.classes[name].clone();
         let slots: u32 =
             self.site.servers.iter().filter(|server| server.service == class.service).map(|server| server.slots).sum();
-        let mean_ms = if class.may_wait { LONG_MS } else { SHORT_MS };
-        let per_second = self.part(name) * f64::from(slots) * 1_000.0 / mean_ms;
+        let mean_ms = if class.may_wait { WAITING_WORK_MS } else { SHORT_WORK_MS };
+        let per_second = self.utilization(name) * f64::from(slots) * 1_000.0 / mean_ms;
         let mut at = 0.0;
         loop {
-            let rate = per_second * self.swell(at, class.may_wait);
+            let rate = per_second * self.load_factor(at, class.may_wait);
             at += -(1.0 - self.rng.f64()).ln() / rate;
             if at >= LENGTH.as_secs_f64() {
                 return;
@@ -123,59 +124,60 @@
             let region = self.site.regions[self.rng.usize(..self.site.regions.len())].clone();
             let caller = self.rng.u32(..CALLERS);
             let (work_us, bytes) = (self.work_us(mean_ms), self.bytes(class.may_wait));
-            let what = What::Send { class: name.to_owned(), region, work_us, bytes, caller };
-            self.events.push(Event { at: time(at), what });
+            let kind = EventKind::Send { class: name.to_owned(), region, work_us, bytes, caller };
+            self.events.push(Event { at: time_from_secs(at), kind });
         }
     }
 
-    /// How many times the usual load comes at `at`.
-    fn swell(&self, at: f64, waits: bool) -> f64 {
-        let inside = at >= FAULT_AT.as_secs_f64() && at < FAULT_ENDS.as_secs_f64();
-        match (self.case, waits) {
-            (Case::Peak, false) if inside => 2.0,
+    /// Returns the load at `at`, in seconds, as a multiple of the usual load.
+    fn load_factor(&self, at: f64, may_wait: bool) -> f64 {
+        let during_fault = at >= FAULT_START.as_secs_f64() && at < FAULT_END.as_secs_f64();
+        match (self.case, may_wait) {
+            (Case::Peak, false) if during_fault => 2.0,
             _ => 1.0,
         }
     }
 
-    /// Log-normal around the mean; a straggler takes fifty times as long.
+    /// Draws a work time from a log-normal distribution with mean `mean_ms`; a straggler takes 50 times as long.
     fn work_us(&mut self, mean_ms: f64) -> u64 {
         const SIGMA: f64 = 0.5;
-        let (one, other) = (1.0 - self.rng.f64(), self.rng.f64());
-        let normal = (-2.0 * one.ln()).sqrt() * (std::f64::consts::TAU * other).cos();
-        let straggles = self.case == Case::Stragglers && self.rng.u32(..200) == 0;
-        let factor = if straggles { 50.0 } else { 1.0 };
+        let (first, second) = (1.0 - self.rng.f64(), self.rng.f64());
+        let normal = (-2.0 * first.ln()).sqrt() * (std::f64::consts::TAU * second).cos();
+        let is_straggler = self.case == Case::Stragglers && self.rng.u32(..200) == 0;
+        let factor = if is_straggler { 50.0 } else { 1.0 };
         (mean_ms * (SIGMA * normal - SIGMA * SIGMA / 2.0).exp() * factor * 1_000.0) as u64
     }
 
-    fn bytes(&mut self, waits: bool) -> u64 {
-        let most = if waits { 400_000 } else { 8_000 };
-        self.rng.u64(most / 4..most)
+    /// Draws the size of an answer.
+    fn bytes(&mut self, may_wait: bool) -> u64 {
+        let max_bytes = if may_wait { 400_000 } else { 8_000 };
+        self.rng.u64(max_bytes / 4..max_bytes)
     }
 
-    fn faults(&mut self) {
+    fn add_faults(&mut self) {
         let region = self.site.regions[0].clone();
         let servers: Vec<String> = self.site.servers.iter().map(|server| server.name.clone()).collect();
         match self.case {
             Case::Steady | Case::Peak | Case::Stragglers | Case::Bulk => {}
             Case::Slowed => {
-                self.push(Duration::ZERO, What::Lag(5_000));
+                self.push(Duration::ZERO, EventKind::Lag(5_000));
                 for server in servers.iter().step_by(3) {
-                    self.push(FAULT_AT, What::Slow(server.clone(), 10.0));
-                    self.push(FAULT_ENDS, What::Slow(server.clone(), 1.0));
+                    self.push(FAULT_START, EventKind::Slow(server.clone(), 10.0));
+                    self.push(FAULT_END, EventKind::Slow(server.clone(), 1.0));
                 }
             }
-            Case::RegionGone => self.push(FAULT_AT, What::Region(region, false)),
+            Case::RegionGone => self.push(FAULT_START, EventKind::Region(region, false)),
             Case::Cold => {
-                self.push(FAULT_AT, What::Region(region.clone(), false));
-                self.push(FAULT_ENDS, What::Region(region, true));
+                self.push(FAULT_START, EventKind::Region(region.clone(), false));
+                self.push(FAULT_END, EventKind::Region(region, true));
             }
-            Case::Blind => self.push(FAULT_AT, What::Reports(false)),
+            Case::Blind => self.push(FAULT_START, EventKind::Reports(false)),
             Case::Poison => {
-                let class = self.short();
-                self.push(FAULT_AT, What::Poison { class, region, caller: CALLERS + 1 });
+                let class = self.short_class();
+                self.push(FAULT_START, EventKind::Poison { class, region, caller: CALLERS + 1 });
             }
             Case::Leave => {
-                let service = self.site.policy.classes[&self.short()].service.clone();
+                let service = self.site.policy.classes[&self.short_class()].service.clone();
                 let leaving: Vec<String> = self
                     .site
                     .servers
@@ -185,23 +187,23 @@
                     .map(|server| server.name.clone())
                     .collect();
                 for server in leaving {
-                    self.push(FAULT_AT, What::Leave(server));
+                    self.push(FAULT_START, EventKind::Leave(server));
                 }
             }
         }
     }
 
-    /// The class of short idempotent work.
-    fn short(&self) -> String {
+    /// Returns the class of short idempotent work.
+    fn short_class(&self) -> String {
         let short = self.site.policy.classes.iter().find(|(_, class)| class.idempotent && !class.may_wait);
         short.map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
-    fn push(&mut self, at: Duration, what: What) {
-        self.events.push(Event { at: time(at.as_secs_f64()), what });
+    fn push(&mut self, at: Duration, kind: EventKind) {
+        self.events.push(Event { at: time_from_secs(at.as_secs_f64()), kind });
     }
 }
 
-fn time(seconds: f64) -> Time {
+fn time_from_secs(seconds: f64) -> Time {
     Time::from_micros((seconds * 1e6) as u64)
 }
--- a/crates/replay/src/error.rs
+++ b/crates/replay/src/error.rs
@@ -1,19 +1,19 @@
-//! Errors of traces and sites.
+//! Errors of the command line, traces and deployments.
 
-/// Why a replay did not run.
+/// Why a replay failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
-    /// A line of a trace is wrong.
+    /// A line of a trace is invalid.
     #[error("{name}: line {line}: {reason}")]
     Line {
-        /// The trace.
+        /// Name of the trace.
         name: String,
-        /// Line number, from one.
+        /// Line number, counted from one.
         line: usize,
-        /// What to change.
+        /// What is wrong with the line.
         reason: String,
     },
     /// A file could not be read or written.
@@ -21,5 +21,5 @@
     File(String, String),
 }
 
-/// The result of reading or replaying.
+/// The result of reading input, replaying or writing files.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -1,4 +1,4 @@
-//! `hemlockreplay`, the replay tool.
+//! `hemlockreplay` replays recorded or generated traces and prints the outcomes.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -6,9 +6,9 @@
 use dispatch::engine::policy::Policy;
 use lexopt::prelude::{Long, Short, ValueExt as _};
 use replay::case::Case;
+use replay::simulation::Simulation;
 use replay::site::Site;
 use replay::table::{self, Row};
-use replay::world::World;
 use replay::{Error, Result, Trace};
 
 const USAGE: &str = "\
@@ -47,7 +47,7 @@
         match argument {
             Long("help") | Short('h') => options.help = true,
             Long("site") => options.sites.push(PathBuf::from(parser.value()?)),
-            Long("case") => options.cases.push(case(&parser.value()?.string()?)?),
+            Long("case") => options.cases.push(parse_case(&parser.value()?.string()?)?),
             Long("trace") => options.trace = Some(PathBuf::from(parser.value()?)),
             Long("out") => options.out = Some(PathBuf::from(parser.value()?)),
             Long("seed") => options.seed = parser.value()?.parse()?,
@@ -65,22 +65,23 @@
     Ok(options)
 }
 
-fn case(name: &str) -> std::result::Result<Case, lexopt::Error> {
+fn parse_case(name: &str) -> std::result::Result<Case, lexopt::Error> {
     let found = Case::ALL.into_iter().find(|case| case.as_str() == name);
     let known: Vec<&str> = Case::ALL.iter().map(|case| case.as_str()).collect();
     found.ok_or_else(|| format!("--case: `{name}` is none of {}", known.join(", ")).into())
 }
 
+/// Replays a trace with each policy.
 fn replay(site: &Site, case: &str, trace: &Trace, options: &Options) -> Vec<Row> {
-    let class = |waits: bool| {
-        let named = site.policy.classes.iter().find(|(_, class)| class.idempotent && class.may_wait == waits);
-        named.map(|(name, _)| name.clone()).unwrap_or_default()
+    let class = |may_wait: bool| {
+        let found = site.policy.classes.iter().find(|(_, class)| class.idempotent && class.may_wait == may_wait);
+        found.map(|(name, _)| name.clone()).unwrap_or_default()
     };
     let row = |(name, policy): &(&str, Policy)| Row {
         site: site.name.clone(),
         case: case.to_owned(),
         policy: (*name).to_owned(),
-        outcome: World::new(site, *policy, options.seed).run(trace),
+        outcome: Simulation::new(site, *policy, options.seed).run(trace),
         short: class(false),
         bulk: class(true),
     };
@@ -111,6 +112,7 @@
     options.out.as_ref().map_or(Ok(()), |folder| write(folder, &rows))
 }
 
+/// Writes the CSV file and a plot for each deployment.
 fn write(folder: &Path, rows: &[Row]) -> Result<()> {
     let file = |name: String, text: String| {
         let path = folder.join(name);
--- a/crates/replay/src/outcome.rs
+++ b/crates/replay/src/outcome.rs
@@ -1,28 +1,28 @@
-//! What a replay came to.
+//! Results of a replay.
 
 use std::collections::BTreeMap;
 
-use base::error::{Kind, Outcome as Truth};
+use base::error::{Kind, Outcome as Execution};
 use base::time::Time;
 use hdrhistogram::Histogram;
 
-/// Longest latency told apart, in microseconds.
-const LONGEST_US: u64 = 1_000_000_000;
+/// Upper bound of the histograms, in microseconds; longer times count as this.
+const MAX_TIME_US: u64 = 1_000_000_000;
 
-/// What became of a class's requests.
+/// Results of the requests of one class.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// Requests.
+    /// Requests sent by callers.
     pub sent: u64,
-    /// Whole answers.
+    /// Requests with a complete answer.
     pub complete: u64,
-    /// Whole answers within the target.
+    /// Requests with a complete answer within the latency target.
     pub good: u64,
-    /// Refusals that say "not run".
+    /// Requests refused with an error that says they were not run.
     pub not_run: u64,
-    /// Errors that leave the outcome open.
+    /// Requests that failed with an error that leaves open whether they were run.
     pub unknown: u64,
-    /// Latency at the caller, in microseconds.
+    /// Latency of complete answers as seen by the caller, in microseconds.
     pub latency: Histogram<u64>,
     /// Time from the arrival at the entry instance to the start of the work, in microseconds.
     pub wait: Histogram<u64>,
@@ -37,9 +37,9 @@
 }
 
 impl Class {
-    /// Nothing sent.
+    /// Creates the results of a class without requests.
     pub fn new() -> Self {
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 3).expect("the bounds are constant");
+        let histogram = || Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("the bounds are valid");
         Self {
             sent: 0,
             complete: 0,
@@ -52,53 +52,53 @@
         }
     }
 
-    /// Notes an error.
-    pub fn refused(&mut self, kind: Kind) {
+    /// Records a request that ended with an error.
+    pub fn record_error(&mut self, kind: Kind) {
         match kind.answer().outcome {
-            Truth::NotRun => self.not_run += 1,
-            Truth::Unknown => self.unknown += 1,
+            Execution::NotRun => self.not_run += 1,
+            Execution::Unknown => self.unknown += 1,
         }
     }
 
-    /// Part of the requests that got a whole answer within the target.
-    pub fn good_share(&self) -> f64 {
+    /// Returns the ratio of requests that got a complete answer within the target.
+    pub fn good_ratio(&self) -> f64 {
         self.good as f64 / self.sent.max(1) as f64
     }
 
-    /// A quantile of the latency, in milliseconds.
+    /// Returns a quantile of the latency, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1_000.0
     }
 }
 
-/// What a replay came to.
+/// Results of a replay.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
-    /// By class.
+    /// Results by class name.
     pub classes: BTreeMap<String, Class>,
-    /// Attempts at servers.
+    /// Attempts sent to servers.
     pub attempts: u64,
     /// Requests that were sent to a server at least once.
-    pub tried: u64,
-    /// Requests that must run once and ran twice.
-    pub twice: u64,
-    /// Servers stopped by a poisonous request.
-    pub crashed: u64,
-    /// Largest part of a link's cap used in any second.
-    pub link: f64,
-    /// Largest part of a region's slots taken by other regions' requests at any time.
-    pub foreign: f64,
-    /// Smallest part of a region's slots free, as the average of a second.
-    pub headroom: f64,
-    /// Longest time after the announcement at which a leaving server still got new work, in milliseconds.
+    pub attempted: u64,
+    /// Requests that are not idempotent and ran more than once.
+    pub duplicate_runs: u64,
+    /// Crashes of servers caused by a poisonous request.
+    pub crashes: u64,
+    /// Largest fraction of a link's cap used in any second; above 1 the cap was exceeded.
+    pub max_link_usage: f64,
+    /// Largest ratio, at any time, of attempts that other regions have open in a region to its slots.
+    pub max_foreign_usage: f64,
+    /// Smallest fraction of a region's slots that was free, as the average of a second.
+    pub min_headroom: f64,
+    /// Longest time after its announcement that a leaving server was still sent new work, in milliseconds.
     pub drain_ms: f64,
-    /// When the last waiting work was finished.
-    pub last: Time,
+    /// When the last complete answer reached its caller, in virtual time.
+    pub last_answer: Time,
 }
 
 impl Outcome {
-    /// Extra attempts for each request that was tried.
-    pub fn extra(&self) -> f64 {
-        self.attempts as f64 / self.tried.max(1) as f64 - 1.0
+    /// Returns the extra attempts per request that was sent to a server.
+    pub fn extra_attempt_ratio(&self) -> f64 {
+        self.attempts as f64 / self.attempted.max(1) as f64 - 1.0
     }
 }
--- a/crates/replay/src/server.rs
+++ b/crates/replay/src/server.rs
@@ -1,29 +1,29 @@
-//! A model of a backend server: slots, a queue, and work that takes its time.
+//! A model of a backend server: slots, a queue, and jobs with a duration.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use base::time::Time;
 
-/// How long a server with cold caches takes longer.
-const COLD: Duration = Duration::from_secs(10);
-/// How many times as long work takes on cold caches.
+/// How long work takes longer on a server that returned with cold caches.
+const WARM_UP: Duration = Duration::from_secs(10);
+/// Factor on the duration of work while the caches are cold.
 const COLD_FACTOR: f64 = 3.0;
 
-/// A job: the entry instance and its attempt.
-pub type JobId = (usize, u64);
+/// Identifies an attempt: the position of its entry instance, and its number in that instance's engine.
+pub type AttemptId = (usize, u64);
 
-/// Work at a server.
+/// An attempt queued or running on a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Job {
-    /// Whose it is.
-    pub id: JobId,
-    /// Time the work takes on a healthy server.
+    /// The attempt that the job runs.
+    pub id: AttemptId,
+    /// Duration of the work on a healthy server.
     pub work: Duration,
     /// Whether it is waiting work.
     pub bulk: bool,
-    /// When it came.
-    pub came: Time,
+    /// When it arrived at the server.
+    pub arrived_at: Time,
 }
 
 /// A job that started.
@@ -32,98 +32,99 @@
     /// The job.
     pub job: Job,
     /// When it will be done.
-    pub done: Time,
+    pub done_at: Time,
 }
 
-/// A server.
+/// A server with its running and queued jobs.
 #[derive(Debug, Clone)]
 pub struct Server {
     slots: usize,
-    queue_most: usize,
-    /// Work takes so many times as long.
-    pub slow: f64,
-    /// Whether it is there.
+    max_queue: usize,
+    /// Factor on the duration of work that starts from now on; 1 is healthy.
+    pub slowdown: f64,
+    /// Whether the server is up; a server that is down accepts no connections.
     pub up: bool,
-    /// Since when its caches are cold; `None` for warm ones.
+    /// When it returned with cold caches; `None` if it never did.
     pub cold_since: Option<Time>,
     running: Vec<Job>,
-    waiting: VecDeque<Job>,
-    /// Loads over time, for late reports.
+    queued: VecDeque<Job>,
+    /// Load (running and queued jobs) after each change, in order of time; delayed reports read it.
     history: VecDeque<(Time, u32)>,
 }
 
 impl Server {
-    /// A healthy server with `slots` slots and room for `queue_most` more requests.
-    pub fn new(slots: usize, queue_most: usize) -> Self {
+    /// Creates a healthy server with `slots` slots and a queue for `max_queue` more jobs.
+    pub fn new(slots: usize, max_queue: usize) -> Self {
         Self {
             slots,
-            queue_most,
-            slow: 1.0,
+            max_queue,
+            slowdown: 1.0,
             up: true,
             cold_since: None,
             running: Vec::new(),
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             history: VecDeque::new(),
         }
     }
 
-    /// Takes a job in; `None` if it is shed.
-    pub fn arrive(&mut self, job: Job, now: Time) -> Option<Vec<Started>> {
-        if self.waiting.len() >= self.queue_most {
+    /// Queues a job and returns the jobs that start now; `None` if the queue is full and the job is shed.
+    pub fn enqueue(&mut self, job: Job, now: Time) -> Option<Vec<Started>> {
+        if self.queued.len() >= self.max_queue {
             return None;
         }
-        self.waiting.push_back(job);
-        Some(self.next(now))
+        self.queued.push_back(job);
+        Some(self.start_queued(now))
     }
 
-    /// A job is done or cancelled; gives what starts in its place.
-    pub fn leave(&mut self, id: JobId, now: Time) -> Vec<Started> {
+    /// Removes a job that is done or cancelled and returns the jobs that start in its place.
+    pub fn remove(&mut self, id: AttemptId, now: Time) -> Vec<Started> {
         self.running.retain(|job| job.id != id);
-        self.waiting.retain(|job| job.id != id);
-        self.next(now)
+        self.queued.retain(|job| job.id != id);
+        self.start_queued(now)
     }
 
-    /// Whether the job runs.
-    pub fn runs(&self, id: JobId) -> bool {
+    /// Whether the job is running.
+    pub fn is_running(&self, id: AttemptId) -> bool {
         self.running.iter().any(|job| job.id == id)
     }
 
-    /// Requests running.
+    /// Returns the number of jobs that are running.
     pub const fn busy(&self) -> usize {
         self.running.len()
     }
 
-    /// Waiting work that runs.
-    pub fn bulk(&self) -> usize {
+    /// Returns the number of running jobs that are waiting work.
+    pub fn busy_with_bulk(&self) -> usize {
         self.running.iter().filter(|job| job.bulk).count()
     }
 
-    /// The server dies; gives the jobs that were there.
-    pub fn die(&mut self) -> Vec<JobId> {
+    /// Takes the server down and returns the jobs that were lost.
+    pub fn stop(&mut self) -> Vec<AttemptId> {
         self.up = false;
         let running = std::mem::take(&mut self.running);
-        let waiting = std::mem::take(&mut self.waiting);
-        running.into_iter().chain(waiting).map(|job| job.id).collect()
+        let queued = std::mem::take(&mut self.queued);
+        running.into_iter().chain(queued).map(|job| job.id).collect()
     }
 
-    /// The load at `at`, as a late report tells it.
+    /// Returns the load at `at`, as a delayed report states it, and drops the history before `at`.
     pub fn load_at(&mut self, at: Time) -> u32 {
         while self.history.len() > 1 && self.history[1].0 <= at {
             self.history.pop_front();
         }
-        self.history.front().filter(|(when, _)| *when <= at).map_or(0, |(_, load)| *load)
+        self.history.front().filter(|(since, _)| *since <= at).map_or(0, |(_, load)| *load)
     }
 
-    fn next(&mut self, now: Time) -> Vec<Started> {
+    /// Starts queued jobs while slots are free, and records the load.
+    fn start_queued(&mut self, now: Time) -> Vec<Started> {
         let mut started = Vec::new();
         while self.running.len() < self.slots {
-            let Some(job) = self.waiting.pop_front() else { break };
+            let Some(job) = self.queued.pop_front() else { break };
             self.running.push(job);
-            let cold = self.cold_since.is_some_and(|since| now.since(since) < COLD);
-            let factor = self.slow * if cold { COLD_FACTOR } else { 1.0 };
-            started.push(Started { job, done: now + job.work.mul_f64(factor) });
+            let cold = self.cold_since.is_some_and(|since| now.since(since) < WARM_UP);
+            let factor = self.slowdown * if cold { COLD_FACTOR } else { 1.0 };
+            started.push(Started { job, done_at: now + job.work.mul_f64(factor) });
         }
-        self.history.push_back((now, (self.running.len() + self.waiting.len()) as u32));
+        self.history.push_back((now, (self.running.len() + self.queued.len()) as u32));
         started
     }
 }
--- a/crates/replay/src/site.rs
+++ b/crates/replay/src/site.rs
@@ -1,4 +1,4 @@
-//! A deployment as replay needs it.
+//! A deployment as the replay uses it.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,39 +9,39 @@
 
 use crate::error::{Error, Result};
 
-/// A deployment with its distances.
+/// A deployment with its network latencies.
 #[derive(Debug, Clone)]
 pub struct Site {
-    /// Name.
+    /// Name of the deployment: the last component of its path.
     pub name: String,
     /// The operators' policy.
     pub policy: Policy,
-    /// Classes by position.
+    /// Names of the classes; the position is the class's id in the engine.
     pub classes: Vec<String>,
-    /// Services by position.
+    /// Names of the services; the position is the service's id in the engine.
     pub services: Vec<String>,
-    /// Regions by position.
+    /// Names of the regions; the position is the region's id.
     pub regions: Vec<String>,
     /// Entry instances.
     pub entries: Vec<Instance>,
     /// Backend servers.
     pub servers: Vec<Instance>,
-    /// One way between failure domains.
-    pub between_domains: Duration,
-    /// One way between regions.
-    pub between_regions: Duration,
-    /// One way to callers.
-    pub to_callers: Duration,
+    /// One-way latency between two failure domains of a region.
+    pub domain_latency: Duration,
+    /// One-way latency between two regions.
+    pub region_latency: Duration,
+    /// One-way latency between a caller and an entry instance.
+    pub caller_latency: Duration,
 }
 
 impl Site {
-    /// Reads the deployment in `folder`.
+    /// Reads the policy and the instances of the deployment in `folder`.
     pub fn read(folder: &Path) -> Result<Self> {
         let name = folder.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
-        let wrong = |error: &dyn std::fmt::Display| Error::File(folder.display().to_string(), error.to_string());
-        let policy = Policy::read(&folder.join("policy.toml")).map_err(|error| wrong(&error))?;
-        let text = std::fs::read(folder.join("instances.json")).map_err(|error| wrong(&error))?;
-        let instances: Vec<Instance> = serde_json::from_slice(&text).map_err(|error| wrong(&error))?;
+        let file_error = |error: &dyn std::fmt::Display| Error::File(folder.display().to_string(), error.to_string());
+        let policy = Policy::read(&folder.join("policy.toml")).map_err(|error| file_error(&error))?;
+        let text = std::fs::read(folder.join("instances.json")).map_err(|error| file_error(&error))?;
+        let instances: Vec<Instance> = serde_json::from_slice(&text).map_err(|error| file_error(&error))?;
         let (entries, servers) = instances.into_iter().partition(|instance| instance.role == Role::Entry);
         let mut services: Vec<String> = policy.classes.values().map(|class| class.service.clone()).collect();
         services.sort();
@@ -54,15 +54,15 @@
             policy,
             entries,
             servers,
-            between_domains: Duration::from_micros(if onfot { 1_000 } else { 1_500 }),
-            between_regions: Duration::from_millis(if onfot { 20 } else { 12 }),
-            to_callers: Duration::from_millis(if onfot { 3 } else { 1 }),
+            domain_latency: Duration::from_micros(if onfot { 1_000 } else { 1_500 }),
+            region_latency: Duration::from_millis(if onfot { 20 } else { 12 }),
+            caller_latency: Duration::from_millis(if onfot { 3 } else { 1 }),
             name,
         })
     }
 
-    /// Targets of the classes, as dispatch takes them.
-    pub fn specs(&self) -> Vec<class::Spec> {
+    /// Returns the classes as the dispatch engine takes them.
+    pub fn class_specs(&self) -> Vec<class::Spec> {
         let spec = |name: &String| {
             let class = &self.policy.classes[name];
             let service = self.services.iter().position(|service| *service == class.service).unwrap_or(0) as u16;
@@ -77,19 +77,19 @@
         self.classes.iter().map(spec).collect()
     }
 
-    /// The position of a region.
-    pub fn region(&self, name: &str) -> Option<usize> {
+    /// Returns the position of a region; `None` if the policy does not list it.
+    pub fn region_position(&self, name: &str) -> Option<usize> {
         self.regions.iter().position(|region| region == name)
     }
 
-    /// One way between an entry instance and a server.
-    pub fn distance(&self, entry: &Instance, server: &Instance) -> Duration {
+    /// Returns the one-way latency between an entry instance and a server.
+    pub fn latency(&self, entry: &Instance, server: &Instance) -> Duration {
         if entry.domain == server.domain {
             Duration::from_micros(100)
         } else if entry.region == server.region {
-            self.between_domains
+            self.domain_latency
         } else {
-            self.between_regions
+            self.region_latency
         }
     }
 }
--- a/crates/replay/src/table.rs
+++ b/crates/replay/src/table.rs
@@ -1,4 +1,4 @@
-//! Outcomes side by side: text, CSV and SVG.
+//! Formats outcomes side by side as text, CSV and SVG.
 
 use std::fmt::Write as _;
 
@@ -7,13 +7,13 @@
 /// The outcome of one case under one policy.
 #[derive(Debug)]
 pub struct Row {
-    /// The deployment.
+    /// Name of the deployment.
     pub site: String,
-    /// The case.
+    /// Name of the case.
     pub case: String,
-    /// The policy.
+    /// Name of the dispatch policy.
     pub policy: String,
-    /// What it came to.
+    /// Results of the replay.
     pub outcome: Outcome,
     /// Name of the short idempotent class.
     pub short: String,
@@ -21,25 +21,26 @@
     pub bulk: String,
 }
 
-const HEAD: [&str; 16] = [
+const HEADER: [&str; 16] = [
     "site", "case", "policy", "good", "p50", "p99", "p99.9", "wait99", "behind", "refused", "unknown", "bulk", "extra",
     "link", "foreign", "twice",
 ];
 
-/// Cells of a row, in the order of the head; times in milliseconds, parts in per cent.
+/// Returns the cells of a row in the order of the header, with times in milliseconds and ratios in per cent; empty if
+/// the deployment has no short class.
 fn cells(row: &Row) -> Vec<String> {
     let outcome = &row.outcome;
     let Some(short) = outcome.classes.get(&row.short) else {
         return Vec::new();
     };
-    let per_cent = |part: f64| format!("{:.2}", part * 100.0);
+    let per_cent = |ratio: f64| format!("{:.2}", ratio * 100.0);
     let sum = |count: fn(&crate::outcome::Class) -> u64| outcome.classes.values().map(count).sum::<u64>();
     let bulk = outcome.classes.get(&row.bulk).map_or(0.0, |bulk| bulk.complete as f64 / bulk.sent.max(1) as f64);
     vec![
         row.site.clone(),
         row.case.clone(),
         row.policy.clone(),
-        per_cent(short.good_share()),
+        per_cent(short.good_ratio()),
         format!("{:.1}", short.latency_ms(0.5)),
         format!("{:.1}", short.latency_ms(0.99)),
         format!("{:.1}", short.latency_ms(0.999)),
@@ -48,29 +49,29 @@
         sum(|class| class.not_run).to_string(),
         sum(|class| class.unknown).to_string(),
         per_cent(bulk),
-        per_cent(outcome.extra()),
-        per_cent(outcome.link),
-        per_cent(outcome.foreign),
-        outcome.twice.to_string(),
+        per_cent(outcome.extra_attempt_ratio()),
+        per_cent(outcome.max_link_usage),
+        per_cent(outcome.max_foreign_usage),
+        outcome.duplicate_runs.to_string(),
     ]
 }
 
-/// The rows as an aligned table.
+/// Formats the rows as an aligned table.
 pub fn text(rows: &[Row]) -> String {
-    let mut text = line(&HEAD.map(str::to_owned));
+    let mut text = line(&HEADER.map(str::to_owned));
     for row in rows {
         text.push_str(&line(&cells(row)));
     }
     text
 }
 
-/// The rows as comma-separated values, with more columns.
+/// Formats the rows as comma-separated values, with three more columns than the table.
 pub fn csv(rows: &[Row]) -> String {
-    let mut text = format!("{},headroom,drain_ms,crashed\n", HEAD.join(","));
+    let mut text = format!("{},headroom,drain_ms,crashed\n", HEADER.join(","));
     for row in rows {
         let outcome = &row.outcome;
-        let more = format!("{:.3},{:.0},{}", outcome.headroom, outcome.drain_ms, outcome.crashed);
-        text.push_str(&format!("{},{more}\n", cells(row).join(",")));
+        let extra_columns = format!("{:.3},{:.0},{}", outcome.min_headroom, outcome.drain_ms, outcome.crashes);
+        text.push_str(&format!("{},{extra_columns}\n", cells(row).join(",")));
     }
     text
 }
@@ -88,7 +89,7 @@
     line
 }
 
-/// Bars of the p99 of the short class, for each case and policy of one deployment.
+/// Draws the p99 of the short class as a bar for each case and policy of one deployment; the lengths are logarithmic.
 pub fn svg(rows: &[Row], site: &str) -> String {
     const BAR: f64 = 14.0;
     const LEFT: f64 = 220.0;
