--- a/crates/size/src/dispatching.rs
+++ b/crates/size/src/dispatching.rs
@@ -1,4 +1,4 @@
-//! Slopes of dispatch: backend servers known to a daemon.
+//! How dispatch grows with the number of backend servers known to a daemon.
 
 use std::time::Duration;
 
@@ -10,12 +10,13 @@
 
 use crate::probe::{line, nanos, resident};
 
-/// Requests in flight while one is decided.
+/// Requests in flight while another is dispatched; fewer with few servers.
 const IN_FLIGHT: usize = 60;
-/// Requests before and while it is measured.
-const WARM_UP: u32 = 20_000;
-const MEASURED: u32 = 20_000;
-/// Objects that requests are about.
+/// Requests before the measurement.
+const WARM_UP_REQUESTS: u32 = 20_000;
+/// Requests in each of the measured rounds.
+const MEASURED_REQUESTS: u32 = 20_000;
+/// Number of objects that requests name.
 const OBJECTS: u64 = 500;
 
 fn engine(servers: u32, affinity: bool) -> Engine {
@@ -37,7 +38,8 @@
     engine
 }
 
-/// Prints the slopes: one request from arrival to answer, both decisions in it.
+/// Prints the measurements of dispatch; the time is that of one request, with the decisions at its arrival and at its
+/// answer.
 pub fn run() {
     for servers in [28, 500, 5_000, 50_000] {
         let before = resident();
@@ -52,27 +54,27 @@
     }
 }
 
-/// Nanoseconds of one request; each is about one of `objects`, if they are named.
+/// Returns the nanoseconds that one request takes; with `objects`, each request names one of so many objects in turn.
 fn one_request(mut engine: Engine, servers: u32, objects: Option<u64>) -> f64 {
-    let mut live = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     let mut now = Time::from_millis(10);
     let mut next = 0_u64;
-    let mut one = |_| {
+    let mut request = |_| {
         next += 1;
         now = now + Duration::from_micros(300);
         let object = objects.map(|objects| base::hash::combine(next % objects, 1));
         engine.submit(Arrival { object, ..Arrival::new(next, 0, next, 100) }, now);
         for action in engine.take_actions() {
             if let Action::Start { attempt, .. } = action {
-                live.push_back(attempt);
+                in_flight.push_back(attempt);
             }
         }
-        if live.len() > IN_FLIGHT.min(servers as usize / 2) {
-            let attempt = live.pop_front().unwrap_or(0);
+        if in_flight.len() > IN_FLIGHT.min(servers as usize / 2) {
+            let attempt = in_flight.pop_front().unwrap_or(0);
             engine.finish(attempt, Ending::Answered(1_000), now);
             drop(engine.take_actions());
         }
     };
-    (0..WARM_UP).for_each(&mut one);
-    nanos(MEASURED, one)
+    (0..WARM_UP_REQUESTS).for_each(&mut request);
+    nanos(MEASURED_REQUESTS, request)
 }
--- a/crates/size/src/lib.rs
+++ b/crates/size/src/lib.rs
@@ -1,4 +1,4 @@
-//! Measures the slopes behind `docs/CAPACITY.md` on one machine.
+//! Measures on one machine how time and memory grow with the size of a deployment (`docs/CAPACITY.md`).
 
 pub mod dispatching;
 pub mod lookups;
--- a/crates/size/src/main.rs
+++ b/crates/size/src/main.rs
@@ -1,4 +1,4 @@
-//! `hemlocksize`, the tool behind `docs/CAPACITY.md`.
+//! `hemlocksize` prints the measurements behind `docs/CAPACITY.md`.
 
 use std::process::ExitCode;
 
@@ -12,26 +12,26 @@
 
 fn parse() -> Result<String, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
-    let mut part = String::from("all");
+    let mut topic = String::from("all");
     while let Some(argument) = parser.next()? {
         match argument {
-            Long("help") | Short('h') => part = String::from("help"),
-            Value(value) => part = value.to_string_lossy().into_owned(),
+            Long("help") | Short('h') => topic = String::from("help"),
+            Value(value) => topic = value.to_string_lossy().into_owned(),
             other => return Err(other.unexpected()),
         }
     }
-    Ok(part)
+    Ok(topic)
 }
 
 fn main() -> ExitCode {
-    let part = match parse() {
-        Ok(part) => part,
+    let topic = match parse() {
+        Ok(topic) => topic,
         Err(error) => {
             eprintln!("hemlocksize: {error}\n\n{USAGE}");
             return ExitCode::from(2);
         }
     };
-    match part.as_str() {
+    match topic.as_str() {
         "lookups" => size::lookups::run(),
         "dispatch" => size::dispatching::run(),
         "membership" => size::membership::run(),
--- a/crates/size/src/policies.rs
+++ b/crates/size/src/policies.rs
@@ -1,4 +1,4 @@
-//! Slopes of the policy: sites and drains in one document.
+//! How the size and the checking time of a policy grow with regions, failure domains and drains.
 
 use config::policy::{Class, Drain, Link, Policy, Region, Scope};
 use fleet::Document;
@@ -6,17 +6,17 @@
 
 use crate::probe::{line, nanos};
 
-/// A policy of `regions` regions, `domains` failure domains, full mesh of links, and `drains` drains.
+/// Returns a policy with `regions` regions, `domains` failure domains, a full mesh of links and `drains` drains.
 pub fn policy(regions: usize, domains: usize, drains: usize) -> Policy {
     let mut policy = Policy::default();
     for region in 0..regions {
-        let inside = (0..domains).filter(|domain| domain % regions == region);
-        let domains = inside.map(|domain| format!("domain-{domain:02}")).collect();
+        let in_region = (0..domains).filter(|domain| domain % regions == region);
+        let domains = in_region.map(|domain| format!("domain-{domain:02}")).collect();
         policy.regions.insert(format!("region-{region}"), Region { domains });
     }
-    for one in 0..regions {
-        for other in one + 1..regions {
-            let between = [format!("region-{one}"), format!("region-{other}")];
+    for first in 0..regions {
+        for second in first + 1..regions {
+            let between = [format!("region-{first}"), format!("region-{second}")];
             policy.links.push(Link { between, cap_mbit: 10_000.0 });
         }
     }
@@ -39,16 +39,16 @@
     policy
 }
 
-/// Prints the slopes.
+/// Prints the measurements of the policy.
 pub fn run() {
     for (regions, domains, drains) in [(3, 6, 0), (9, 24, 0), (9, 24, 50), (9, 24, 500)] {
         let text = policy(regions, domains, drains).to_text().unwrap_or_default();
         let size = format!("{regions}/{domains}/{drains}");
         line("policy, size", &size, text.len() as f64, "bytes");
-        let take = |call: u32| {
-            let mut holder = Replica::new();
-            holder.apply(Document::new(u64::from(call) + 1, text.clone())).is_ok()
+        let apply = |call: u32| {
+            let mut replica = Replica::new();
+            replica.apply(Document::new(u64::from(call) + 1, text.clone())).is_ok()
         };
-        line("policy, check and put into force", &size, nanos(50, take) / 1e3, "us");
+        line("policy, check and put into force", &size, nanos(50, apply) / 1e3, "us");
     }
 }
