--- a/crates/load/src/answer.rs
+++ b/crates/load/src/answer.rs
@@ -1,21 +1,21 @@
-//! What became of a request, and whether the answer is its own.
+//! The result of a request, and the check that its answer belongs to it.
 
 use base::hash;
 
-/// What became of one send.
+/// The result of sending a request once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ending {
-    /// The whole answer to this request.
+    /// The complete answer to this request.
     Complete,
-    /// An answer to another request, or one cut short.
+    /// An answer without the echo of this request: it belongs to another request, or was cut short.
     Foreign,
-    /// Refused, with the word that nothing was run.
+    /// An error that says the request was not run.
     NotRun,
-    /// An error that leaves the outcome open.
+    /// An error that leaves open whether the request was run.
     Unknown,
-    /// The connection was refused; nothing was sent.
+    /// No connection could be made; nothing was sent.
     Refused,
-    /// The connection broke, or no answer came in time.
+    /// The connection was lost, or no answer came in time.
     Broken,
 }
 
@@ -24,7 +24,7 @@
     pub const ALL: [Self; 6] =
         [Self::Complete, Self::Foreign, Self::NotRun, Self::Unknown, Self::Refused, Self::Broken];
 
-    /// A short name.
+    /// Returns the name in the summary.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
@@ -37,13 +37,15 @@
     }
 }
 
-/// Judges an answer by the echo of the stand-in for backend servers.
+/// Classifies an answer by `outcome`, the value of its header `x-outcome`, and by the line that `fakebackend` writes at
+/// the start of `body`. That line repeats `echo`, the request's header `x-echo`, and the hash of `sent`, the
+/// request's body.
 pub fn classify(outcome: &str, body: &[u8], echo: &str, sent: &[u8]) -> Ending {
     match outcome {
         "not-run" => return Ending::NotRun,
         "unknown" => return Ending::Unknown,
         _ => {}
     }
-    let head = format!("echo={echo} body={:016x} ", hash::bytes(sent));
-    if body.starts_with(head.as_bytes()) { Ending::Complete } else { Ending::Foreign }
+    let expected = format!("echo={echo} body={:016x} ", hash::bytes(sent));
+    if body.starts_with(expected.as_bytes()) { Ending::Complete } else { Ending::Foreign }
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,5 @@
-//! A load tool: open-loop arrivals by class, latencies from the time of arrival, and a check of every answer.
+//! A load generator: open-loop arrivals by class, latencies from the planned time of arrival, and a check of every
+//! answer.
 
 pub mod answer;
 pub mod plan;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `hemlockload`, the load tool.
+//! `hemlockload` sends load to a deployment and prints a summary.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -16,14 +16,14 @@
 Sends open-loop load through look-ups and checks that each answer belongs to its request.
 ";
 
-fn flow(text: &str) -> Result<Flow, lexopt::Error> {
-    let words: Vec<&str> = text.split(',').collect();
-    let (name, method, path, rate, keyed) = match words.as_slice() {
+fn parse_flow(text: &str) -> Result<Flow, lexopt::Error> {
+    let fields: Vec<&str> = text.split(',').collect();
+    let (name, method, path, rate, keyed) = match fields.as_slice() {
         [name, method, path, rate] => (name, method, path, rate, false),
         [name, method, path, rate, "keyed"] => (name, method, path, rate, true),
         _ => return Err(format!("--flow: `{text}` is not NAME,METHOD,PATH,PER_SECOND[,keyed]").into()),
     };
-    let per_second = rate.parse().map_err(|_source| format!("--flow: `{rate}` is no number"))?;
+    let per_second = rate.parse().map_err(|_source| format!("--flow: `{rate}` is not a number"))?;
     let (name, method, path) = ((*name).to_owned(), (*method).to_owned(), (*path).to_owned());
     Ok(Flow { name, method, path, per_second, keyed, body_bytes: 0 })
 }
@@ -43,7 +43,7 @@
         match argument {
             Long("help") | Short('h') => return Ok(None),
             Long("entry") => plan.entries.push(parser.value()?.string()?),
-            Long("flow") => plan.flows.push(flow(&parser.value()?.string()?)?),
+            Long("flow") => plan.flows.push(parse_flow(&parser.value()?.string()?)?),
             Long("seconds") => plan.duration = Duration::from_secs(parser.value()?.parse()?),
             Long("callers") => plan.callers = parser.value()?.parse()?,
             Long("timeout-ms") => plan.timeout = Duration::from_millis(parser.value()?.parse()?),
@@ -53,7 +53,7 @@
         }
     }
     if plan.entries.is_empty() || plan.flows.is_empty() {
-        return Err("name one --entry and one --flow at least".into());
+        return Err("at least one --entry and one --flow are required".into());
     }
     Ok(Some(plan))
 }
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,17 +1,17 @@
-//! What to send, and when.
+//! The requests of a load and their times.
 
 use std::time::Duration;
 
 /// One class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Flow {
-    /// Name, for the summary.
+    /// Name in the summary.
     pub name: String,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Requests a second, over all callers.
+    /// Requests per second, over all callers; none if zero.
     pub per_second: f64,
     /// Whether each request carries a new idempotency key.
     pub keyed: bool,
@@ -19,38 +19,38 @@
     pub body_bytes: usize,
 }
 
-/// A load.
+/// The load to send.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Entry instances to ask first, `IP:PORT`.
+    /// Addresses of the entry instances that answer the look-ups, as `IP:PORT`.
     pub entries: Vec<String>,
     /// Classes of requests.
     pub flows: Vec<Flow>,
     /// How long to send.
     pub duration: Duration,
-    /// Callers that send; each waits for its answer before the next request.
+    /// Number of callers; each waits for its answer before it sends the next request.
     pub callers: usize,
-    /// Longest time for one answer.
+    /// Time limit of one send, from connecting to the end of the answer.
     pub timeout: Duration,
-    /// Times an unanswered or not-run request is sent again, with the same key.
+    /// How many times at most a request is sent again, with the same key, until it has an answer that is not an error.
     pub resends: u32,
-    /// Equal seeds make equal arrivals.
+    /// Seed of the arrival times; equal seeds give equal arrivals.
     pub seed: u64,
 }
 
-/// One request to come.
+/// A planned request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// When it should be sent, from the start.
+    /// When it is due, since the start.
     pub at: Duration,
-    /// Its flow, by position.
+    /// Position of its flow in the plan.
     pub flow: usize,
-    /// Its number.
+    /// Its number, from zero in order of time.
     pub number: u64,
 }
 
 impl Plan {
-    /// All arrivals in order: Poisson for each flow.
+    /// Returns all arrivals in order of time: a Poisson process for each flow.
     pub fn arrivals(&self) -> Vec<Arrival> {
         let mut rng = fastrand::Rng::with_seed(self.seed);
         let mut arrivals = Vec::new();
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Sending a plan.
+//! Sends a plan.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -12,10 +12,10 @@
 use crate::plan::{Arrival, Plan};
 use crate::tally::Tally;
 
-/// Time to make a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Time limit of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends `plan` until it is through or `stop` is set; gives a tally for each flow.
+/// Sends `plan` until it is finished or `stop` is set, and returns a tally for each flow that sent requests.
 pub fn run(plan: &Plan, stop: &AtomicBool) -> BTreeMap<String, Tally> {
     let arrivals = plan.arrivals();
     let next = AtomicUsize::new(0);
@@ -43,13 +43,14 @@
     merged.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// One caller: it keeps the look-up's answer as long as it may, and goes down the list when an entry fails it.
+/// A caller, which uses a look-up's answer until its TTL ends, and goes on to the next entry instance of the list after
+/// each send that failed.
 struct Caller<'a> {
     plan: &'a Plan,
     agent: ureq::Agent,
     client: String,
     entries: Vec<String>,
-    kept_until: Instant,
+    lookup_expires_at: Instant,
     tallies: BTreeMap<String, Tally>,
 }
 
@@ -57,16 +58,17 @@
     fn new(plan: &'a Plan, number: usize) -> Self {
         let config = ureq::Agent::config_builder()
             .timeout_global(Some(plan.timeout))
-            .timeout_connect(Some(CONNECT))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
             .http_status_as_error(false)
             .max_redirects(0)
             .proxy(None)
             .build();
         let client = format!("10.{}.{}.{}", 1 + number % 3, (number / 3) % 250, 1 + number % 200);
-        let kept_until = Instant::now();
-        Self { plan, agent: config.into(), client, entries: Vec::new(), kept_until, tallies: BTreeMap::new() }
+        let lookup_expires_at = Instant::now();
+        Self { plan, agent: config.into(), client, entries: Vec::new(), lookup_expires_at, tallies: BTreeMap::new() }
     }
 
+    /// Sends a request, and again until the answer is complete or the resends are used up; tallies the last result.
     fn send(&mut self, arrival: &Arrival, start: Instant) {
         let echo = format!("{:x}-{}", self.plan.seed, arrival.number);
         let mut ending = Ending::Refused;
@@ -87,8 +89,8 @@
         self.tallies.entry(name.clone()).or_default().record(ending, latency, resends);
     }
 
-    fn send_once(&mut self, arrival: &Arrival, echo: &str, turn: usize) -> Ending {
-        self.look_up(arrival.number as usize + turn);
+    fn send_once(&mut self, arrival: &Arrival, echo: &str, offset: usize) -> Ending {
+        self.look_up(arrival.number as usize + offset);
         let Some(entry) = self.entries.first() else {
             return Ending::Refused;
         };
@@ -106,7 +108,7 @@
         };
         let request = self.agent.configure_request(request).allow_non_standard_methods(true).build();
         match self.agent.run(request) {
-            Err(error) => broken(&error),
+            Err(error) => failure(&error),
             Ok(mut response) => {
                 let outcome = response.headers().get("x-outcome").and_then(|value| value.to_str().ok());
                 let outcome = outcome.unwrap_or_default().to_owned();
@@ -118,33 +120,34 @@
         }
     }
 
-    /// Asks for entry instances if the last answer is too old; keeps it if nobody answers.
-    fn look_up(&mut self, turn: usize) {
-        if Instant::now() < self.kept_until {
+    /// Looks up the entry instances if the last answer has expired, and keeps that answer if no instance answers. The
+    /// search starts at the instance that `offset` gives.
+    fn look_up(&mut self, offset: usize) {
+        if Instant::now() < self.lookup_expires_at {
             return;
         }
-        let known = self.plan.entries.len();
-        for step in 0..known {
-            let entry = &self.plan.entries[(turn + step) % known];
+        let count = self.plan.entries.len();
+        for step in 0..count {
+            let entry = &self.plan.entries[(offset + step) % count];
             let url = format!("http://{entry}/lookup?client={}", self.client);
-            let read = self.agent.get(&url).call().and_then(|mut response| response.body_mut().read_to_vec());
-            let Some(answer) = read.ok().and_then(|bytes| serde_json::from_slice::<Value>(&bytes).ok()) else {
+            let body = self.agent.get(&url).call().and_then(|mut response| response.body_mut().read_to_vec());
+            let Some(answer) = body.ok().and_then(|bytes| serde_json::from_slice::<Value>(&bytes).ok()) else {
                 continue;
             };
-            let addresses = answer["entries"].as_array().into_iter().flatten();
-            let found: Vec<String> =
-                addresses.filter_map(|entry| Some(entry["address"].as_str()?.to_owned())).collect();
+            let entries = answer["entries"].as_array().into_iter().flatten();
+            let found: Vec<String> = entries.filter_map(|entry| Some(entry["address"].as_str()?.to_owned())).collect();
             if !found.is_empty() {
                 self.entries = found;
                 let ttl = answer["ttl_s"].as_u64().unwrap_or(1);
-                self.kept_until = Instant::now() + Duration::from_secs(ttl);
+                self.lookup_expires_at = Instant::now() + Duration::from_secs(ttl);
                 return;
             }
         }
     }
 }
 
-fn broken(error: &ureq::Error) -> Ending {
+/// Classifies a send that got no answer.
+fn failure(error: &ureq::Error) -> Ending {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect) => Ending::Refused,
         ureq::Error::Io(io) if io.kind() == std::io::ErrorKind::ConnectionRefused => Ending::Refused,
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -8,17 +8,17 @@
 
 use crate::answer::Ending;
 
-/// Longest latency told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Upper bound of the histogram, in microseconds; longer latencies count as this.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// Counts and latencies of one flow.
 #[derive(Debug, Clone)]
 pub struct Tally {
-    /// Requests by what became of them in the end.
+    /// Number of requests by their last result.
     pub endings: BTreeMap<Ending, u64>,
-    /// Sends again.
+    /// Number of times that requests were sent again.
     pub resends: u64,
-    /// Latencies from the planned time of arrival, in microseconds.
+    /// Latencies of complete answers from the planned time of arrival, in microseconds.
     pub latency: Histogram<u64>,
 }
 
@@ -29,13 +29,13 @@
 }
 
 impl Tally {
-    /// Nothing counted.
+    /// Creates an empty tally.
     pub fn new() -> Self {
-        let latency = Histogram::new_with_bounds(1, LONGEST_US, 3).expect("the bounds are constant");
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("the bounds are valid");
         Self { endings: BTreeMap::new(), resends: 0, latency }
     }
 
-    /// Counts one request.
+    /// Records a request with its last result, its latency and how many times it was sent again.
     pub fn record(&mut self, ending: Ending, latency: Duration, resends: u32) {
         *self.endings.entry(ending).or_default() += 1;
         self.resends += u64::from(resends);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds another tally.
+    /// Adds the counts of another tally.
     pub fn add(&mut self, other: &Self) {
         for (ending, count) in &other.endings {
             *self.endings.entry(*ending).or_default() += count;
@@ -53,13 +53,13 @@
         self.latency.add(&other.latency).expect("all histograms have the same bounds");
     }
 
-    /// Requests with this ending.
+    /// Returns the number of requests with this result.
     pub fn count(&self, ending: Ending) -> u64 {
         self.endings.get(&ending).copied().unwrap_or(0)
     }
 }
 
-/// The summary as a table.
+/// Formats the tallies as a table with a row for each flow.
 pub fn table(tallies: &BTreeMap<String, Tally>) -> String {
     let mut text = format!("{:<14}", "flow");
     for ending in Ending::ALL {
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -68,7 +68,7 @@
 fn parse_case(name: &str) -> std::result::Result<Case, lexopt::Error> {
     let found = Case::ALL.into_iter().find(|case| case.as_str() == name);
     let known: Vec<&str> = Case::ALL.iter().map(|case| case.as_str()).collect();
-    found.ok_or_else(|| format!("--case: `{name}` is none of {}", known.join(", ")).into())
+    found.ok_or_else(|| format!("--case: `{name}` is not one of {}", known.join(", ")).into())
 }
 
 /// Replays a trace with each policy.
--- a/crates/replay/src/simulation/attempts.rs
+++ b/crates/replay/src/simulation/attempts.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Ends a job whose work is done, and sends the answer; a poisonous request crashes the server instead. Does nothing
-    /// if the job was cancelled or lost before.
+    /// Ends a job whose work is done, and sends the answer; a poisonous request crashes the server instead. Does
+    /// nothing if the job was cancelled or lost before.
     pub(super) fn work_done(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id).copied() else {
             return;
--- a/crates/replay/src/simulation/metrics.rs
+++ b/crates/replay/src/simulation/metrics.rs
@@ -32,8 +32,8 @@
             self.outcome.max_foreign_usage.max(foreign.count() as f64 / f64::from(slots.max(1)));
     }
 
-    /// Averages the busy slots of the server's region over each second, or over several seconds in which no job started,
-    /// and updates the smallest headroom.
+    /// Averages the busy slots of the server's region over each second, or over several seconds in which no job
+    /// started or ended, and updates the smallest headroom.
     pub(super) fn record_busy_slots(&mut self, server: usize) {
         let name = &self.site.servers[server].region;
         let region = self.site.region_position(name).unwrap_or(0);
--- a/crates/size/src/membership.rs
+++ b/crates/size/src/membership.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Exchanges messages between two daemons; the one with the older policy takes the newer one and pushes it to others
-    /// at once.
+    /// Exchanges messages between two daemons; the one with the older policy takes the newer one and pushes it to
+    /// others at once.
     fn exchange(&mut self, initiator: usize, peer: usize) {
         let request = self.rosters[initiator].message(self.revisions[initiator], self.now);
         self.rosters[peer].merge(&request, self.now);
