--- a/crates/demo/tests/common/mod.rs
+++ b/crates/demo/tests/common/mod.rs
@@ -55,7 +55,7 @@
         Plan {
             entries: self.deployment.entries().map(|entry| entry.address.clone()).collect(),
             flows,
-            time: Duration::from_secs(seconds),
+            duration: Duration::from_secs(seconds),
             callers,
             timeout: Duration::from_secs(20),
             resends: 8,
