--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -53,24 +53,24 @@
 
 /// Whether a request may safely run more than once. A request without a class runs nowhere and counts as idempotent.
 pub fn is_idempotent(context: &Context, head: &head::Request) -> bool {
-    let in_force = context.policy();
-    let class = in_force.policy.class_of(host(&head.headers), head.path());
+    let active = context.policy();
+    let class = active.policy.class_of(host(&head.headers), head.path());
     class.is_none_or(|(_, class)| class.idempotent)
 }
 
 /// Finds the class of a request and dispatches it. Returns the name of the class, if the request has one, and the
 /// outcome.
 async fn run(context: &Arc<Context>, incoming: Incoming, id: &str, now: Time) -> (Option<String>, Outcome) {
-    let in_force = context.policy();
-    if in_force.policy.regions.is_empty() {
+    let active = context.policy();
+    if active.policy.regions.is_empty() {
         return (None, Err(Kind::NoPolicy.into()));
     }
     let head = &incoming.head;
-    let found = in_force.policy.class_of(host(&head.headers), head.path());
+    let found = active.policy.class_of(host(&head.headers), head.path());
     let Some((name, class)) = found else {
         return (None, Err(Kind::UnknownRoute.into()));
     };
-    let Some(position) = in_force.class_position(name) else {
+    let Some(position) = active.class_position(name) else {
         return (None, Err(Kind::UnknownRoute.into()));
     };
     let (name, idempotent) = (name.to_owned(), class.idempotent);
@@ -116,7 +116,7 @@
         target: head.target,
         headers: forwarded_headers(context, &head.headers),
         body,
-        caller_deadline: submission.limit.map(|limit| now + limit),
+        caller_deadline: submission.timeout.map(|timeout| now + timeout),
         idempotent,
         keyed,
     });
@@ -173,7 +173,7 @@
     Submission {
         class,
         fingerprint,
-        limit: milliseconds.map(Duration::from_millis),
+        timeout: milliseconds.map(Duration::from_millis),
         object: object.map(|value| hash::bytes(value.as_bytes())),
     }
 }
@@ -224,8 +224,8 @@
 
 /// Records whether an answer met its class's target; errors of the caller do not count.
 fn record_burn(context: &Context, class: &str, outcome: &Outcome, latency: Duration) {
-    let in_force = context.policy();
-    let Some(target) = in_force.policy.classes.get(class) else {
+    let active = context.policy();
+    let Some(target) = active.policy.classes.get(class) else {
         return;
     };
     let server_fault = match outcome {
--- a/crates/daemon/src/callers/lookup.rs
+++ b/crates/daemon/src/callers/lookup.rs
@@ -38,7 +38,7 @@
     };
     context.metrics.lookups.inc();
     let steering = context.steering();
-    let in_force = context.policy();
+    let active = context.policy();
     let limit = context.settings.callers.answer_entries as usize;
     let found = steer::answer::look_up(&steering.table, &steering.view, &steering.shares, address, limit);
     let entries = found.positions().iter().filter_map(|position| steering.view.entry(*position));
@@ -47,12 +47,12 @@
     if entries.is_empty() {
         return Reply::error(Kind::NoBackend, &context.dialect);
     }
-    let region = found.region.and_then(|region| in_force.regions.get(usize::from(region)));
+    let region = found.region.and_then(|region| active.regions.get(usize::from(region)));
     Reply::json(&Answer {
         entries,
         ttl_s: context.settings.callers.answer_ttl_s,
         region: region.map_or("", String::as_str),
-        revision: in_force.revision,
+        revision: active.revision,
         session: context.session(),
     })
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -92,7 +92,7 @@
     /// State that look-ups and dispatch read; replaced as a whole.
     pub steering: RwLock<Arc<Steering>>,
     /// Locked while `steering` is prepared, so that an older state never replaces a newer one.
-    pub preparing: Mutex<RefreshState>,
+    pub refresh_state: Mutex<RefreshState>,
     /// Instances that the platform lists.
     pub instance_list: Mutex<List>,
     /// Memory budget for backend servers' answers that are being read.
@@ -166,7 +166,7 @@
             grant_manager: Mutex::new(Manager::new()),
             shift_controller: Mutex::new(Controller::new(0, answer_ttl, now)),
             steering: RwLock::new(Arc::new(Steering::default())),
-            preparing: Mutex::new(RefreshState::default()),
+            refresh_state: Mutex::new(RefreshState::default()),
             instance_list: Mutex::new(List::default()),
             answer_memory: Budget::new(settings.dispatch.answers_bytes as usize),
             pool: Pool::new(),
@@ -203,8 +203,8 @@
     }
 
     /// Returns what the state in `steering` was prepared from.
-    pub fn prepared(&self) -> Inputs {
-        lock(&self.preparing).inputs
+    pub fn steering_inputs(&self) -> Inputs {
+        lock(&self.refresh_state).inputs
     }
 
     /// Replaces the state that look-ups and dispatch read.
--- a/crates/daemon/src/decision_log.rs
+++ b/crates/daemon/src/decision_log.rs
@@ -18,18 +18,18 @@
 const MAX_NAMES: usize = 8;
 
 /// Logs where a request is sent and on what basis; `waited` is the time since it arrived.
-pub fn attempt_sent(context: &Context, outgoing: &Outgoing, sending: Attempt, waited: Duration, basis: Basis) {
+pub fn attempt_sent(context: &Context, outgoing: &Outgoing, attempt: Attempt, waited: Duration, basis: Basis) {
     let steering = context.steering();
-    let target = steering.backends.get(&sending.backend);
+    let target = steering.backends.get(&attempt.backend);
     let (server, domain) = target.map_or(("gone", ""), |instance| (&instance.name, &instance.domain));
     let now = context.now();
     let warm = warm_label(basis);
     log::info!(
-        request = outgoing.id.as_str(), object = outgoing.object.as_str(), attempt = sending.number, server, domain,
-        again = sending.retry, warm, own = basis.own_in_flight, load:% = format_args!("{:.2}", basis.load),
+        request = outgoing.id.as_str(), object = outgoing.object.as_str(), attempt = attempt.number, server, domain,
+        again = attempt.retry, warm, own = basis.own_in_flight, load:% = format_args!("{:.2}", basis.load),
         pace:% = format_args!("{:.2}", basis.pace),
         told_ms:% = basis.reported_at.map_or(-1, |reported_at| now.since(reported_at).as_millis() as i64),
-        waited_ms:% = waited.as_millis(), left_ms:% = sending.deadline.since(now).as_millis();
+        waited_ms:% = waited.as_millis(), left_ms:% = attempt.deadline.since(now).as_millis();
         "dispatch: sent"
     );
 }
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -64,7 +64,7 @@
     /// Fingerprint of the request, equal when the caller sends it again.
     pub fingerprint: u64,
     /// How long the caller waits; `None` if it names no deadline.
-    pub limit: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Hash of the object that the request is about; `None` for none.
     pub object: Option<u64>,
 }
@@ -144,9 +144,9 @@
         submission: Submission,
     ) -> oneshot::Receiver<Outcome> {
         let (reply, outcome) = oneshot::channel();
-        let Submission { class, fingerprint, limit, object } = submission;
+        let Submission { class, fingerprint, timeout, object } = submission;
         let bytes = outgoing.body.len() as u64;
-        let arrival = Arrival { request: outgoing.number, class, fingerprint, bytes, timeout: limit, object };
+        let arrival = Arrival { request: outgoing.number, class, fingerprint, bytes, timeout, object };
         stall::check(context);
         let now = context.now();
         lock(&self.pending).insert(outgoing.number, Pending { outgoing, reply, arrived_at: now });
@@ -207,9 +207,9 @@
     fn perform(&self, context: &Arc<Context>, action: Action) {
         match action {
             Action::Start { request, attempt, backend, deadline, retry, basis } => {
-                let sending = attempt::Attempt { number: attempt, backend, deadline, retry };
-                self.record_start(context, request, sending, basis);
-                self.start(context, request, sending);
+                let attempt = attempt::Attempt { number: attempt, backend, deadline, retry };
+                self.record_start(context, request, attempt, basis);
+                self.start(context, request, attempt);
             }
             Action::Cancel { attempt, backend } => {
                 attempt::cancel(context, attempt, backend);
@@ -231,17 +231,17 @@
     }
 
     /// Records in logs and metrics where a request is sent and on what basis.
-    fn record_start(&self, context: &Context, request: u64, sending: attempt::Attempt, basis: Basis) {
+    fn record_start(&self, context: &Context, request: u64, attempt: attempt::Attempt, basis: Basis) {
         let pending =
             lock(&self.pending).get(&request).map(|pending| (Arc::clone(&pending.outgoing), pending.arrived_at));
         let Some((outgoing, arrived_at)) = pending else { return };
         let waited = context.now().since(arrived_at);
-        let again = if sending.retry { "yes" } else { "no" };
+        let again = if attempt.retry { "yes" } else { "no" };
         context.metrics.sends.with_label_values(&[again, decision_log::warm_label(basis)]).inc();
-        if !sending.retry {
+        if !attempt.retry {
             context.metrics.wait_time.observe(waited.as_secs_f64());
         }
-        decision_log::attempt_sent(context, &outgoing, sending, waited, basis);
+        decision_log::attempt_sent(context, &outgoing, attempt, waited, basis);
     }
 
     /// Logs a decision; called before the request concerned is answered.
@@ -261,16 +261,16 @@
     }
 
     /// Starts an attempt on a task of its own.
-    fn start(&self, context: &Arc<Context>, request: u64, sending: attempt::Attempt) {
+    fn start(&self, context: &Arc<Context>, request: u64, attempt: attempt::Attempt) {
         let outgoing = lock(&self.pending).get(&request).map(|pending| Arc::clone(&pending.outgoing));
         let Some(outgoing) = outgoing else {
-            return self.finish(context, sending.number, Ending::Withheld(Kind::Expired), None);
+            return self.finish(context, attempt.number, Ending::Withheld(Kind::Expired), None);
         };
         // Keeps the map locked until the attempt is in it, so that an attempt that ends at once finds its entry.
         let mut running = lock(&self.running);
         let started_at = context.now();
-        let task = context.runtime.spawn(attempt::run(Arc::clone(context), Arc::clone(&outgoing), sending));
-        running.insert(sending.number, Running { outgoing, started_at, task: task.abort_handle() });
+        let task = context.runtime.spawn(attempt::run(Arc::clone(context), Arc::clone(&outgoing), attempt));
+        running.insert(attempt.number, Running { outgoing, started_at, task: task.abort_handle() });
     }
 
     /// Records a load report that came with an answer; the engine acts on it once the attempt's end is reported.
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -6,7 +6,7 @@
 };
 
 /// Upper bounds of latency buckets, in seconds.
-const LATENCY_S: [f64; 14] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 30.0];
+const LATENCY_BUCKETS_S: [f64; 14] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 30.0];
 
 /// All metrics of a daemon.
 #[derive(Debug)]
@@ -179,14 +179,14 @@
 }
 
 fn histogram(registry: &Registry, name: &str, help: &str) -> Histogram {
-    let options = HistogramOpts::new(name, help).buckets(LATENCY_S.to_vec());
+    let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
     let histogram = Histogram::with_opts(options).expect("the options are constant");
     register(registry, histogram.clone());
     histogram
 }
 
 fn histograms(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-    let options = HistogramOpts::new(name, help).buckets(LATENCY_S.to_vec());
+    let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
     let histograms = HistogramVec::new(options, labels).expect("the options are constant");
     register(registry, histograms.clone());
     histograms
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -68,25 +68,25 @@
 
 /// Returns whether the daemon is ready, and if not, why.
 pub fn readiness(context: &Context) -> Readiness {
-    let mut missing = Vec::new();
-    let prepared = context.prepared();
+    let mut reasons = Vec::new();
+    let inputs = context.steering_inputs();
     if context.stopping() {
-        missing.push("stopping");
+        reasons.push("stopping");
     }
     if lock(&context.roster).superseded() {
-        missing.push("another process runs under this name");
+        reasons.push("another process runs under this name");
     }
-    if !prepared.policy {
-        missing.push("no policy");
+    if !inputs.policy {
+        reasons.push("no policy");
     }
-    if !prepared.list {
-        missing.push("no list of instances");
+    if !inputs.list {
+        reasons.push("no list of instances");
     }
-    let ready = missing.is_empty();
-    if prepared.revision == 0 && prepared.policy {
-        missing.push("policy of the settings only");
+    let ready = reasons.is_empty();
+    if inputs.revision == 0 && inputs.policy {
+        reasons.push("policy of the settings only");
     }
-    Readiness { ready, reasons: missing }
+    Readiness { ready, reasons }
 }
 
 fn answer(context: &Arc<Context>, mut request: Request) {
@@ -206,7 +206,7 @@
         instance: context.settings.instance.clone(),
         region: context.settings.region.clone(),
         domain: context.settings.domain.clone(),
-        revision: context.prepared().revision,
+        revision: context.steering_inputs().revision,
         ready: readiness(context),
         store_silent_s: age_s(&context.store_answered_at, now),
         members,
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -61,7 +61,7 @@
 }
 
 /// Merges a peer's message, and starts fetching the peer's policy if that is newer.
-pub fn apply(context: &Arc<Context>, message: &Message) {
+pub fn apply_message(context: &Arc<Context>, message: &Message) {
     let now = context.now();
     lock(&context.roster).merge(message, now);
     if !message.losses.is_empty() {
@@ -82,7 +82,7 @@
 }
 
 /// Sends `message` to one peer and applies its answer; records a failure in the roster.
-pub async fn send(context: &Arc<Context>, name: &str, address: &str, message: Message) {
+pub async fn exchange_with(context: &Arc<Context>, name: &str, address: &str, message: Message) {
     let Some(client) = client::client(context, address) else {
         return;
     };
@@ -90,7 +90,7 @@
         Ok(answer) => {
             context.metrics.exchanges.with_label_values(&["ok"]).inc();
             context.peer_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
-            apply(context, &answer);
+            apply_message(context, &answer);
         }
         Err(error) => {
             context.metrics.exchanges.with_label_values(&["failed"]).inc();
@@ -162,7 +162,7 @@
 /// Registers with a seed that has just started itself, and requests its snapshot again after [`REGISTRATION_TIME`].
 /// Without this, daemons that all start together would each take itself for the only one of its region.
 async fn rejoin(context: &Arc<Context>, seed: &str) {
-    send(context, seed, seed, message(context)).await;
+    exchange_with(context, seed, seed, message(context)).await;
     tokio::time::sleep(REGISTRATION_TIME).await;
     let Some(client) = client::client(context, seed) else { return };
     match client.snapshot().await {
@@ -185,7 +185,7 @@
             roster.next_target(now)
         };
         if let Some((name, address)) = target {
-            send(context, &name, &address, message(context)).await;
+            exchange_with(context, &name, &address, message(context)).await;
         }
     }
 }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -62,7 +62,7 @@
     let messages: Vec<Message> = targets.iter().map(|_| roster.urgent_message(0, now)).collect();
     drop(roster);
     for ((name, address), message) in targets.into_iter().zip(messages) {
-        send(context, name, address, message);
+        spawn_exchange(context, name, address, message);
     }
 }
 
@@ -89,12 +89,12 @@
 fn push(context: &Arc<Context>, limit: usize) {
     let targets = lock(&context.roster).random_members(limit);
     for (name, address) in targets {
-        send(context, name, address, exchange::message(context));
+        spawn_exchange(context, name, address, exchange::message(context));
     }
 }
 
-fn send(context: &Arc<Context>, name: String, address: String, message: Message) {
+fn spawn_exchange(context: &Arc<Context>, name: String, address: String, message: Message) {
     let context = Arc::clone(context);
     let runtime = context.runtime.clone();
-    runtime.spawn(async move { exchange::send(&context, &name, &address, message).await });
+    runtime.spawn(async move { exchange::exchange_with(&context, &name, &address, message).await });
 }
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -34,7 +34,7 @@
 #[async_trait]
 impl PeersServer for Handler {
     async fn exchange(&self, message: Message) -> Result<Message, ErrorObjectOwned> {
-        exchange::apply(&self.context, &message);
+        exchange::apply_message(&self.context, &message);
         Ok(exchange::answer(&self.context, &message))
     }
 
--- a/crates/daemon/src/plugin.rs
+++ b/crates/daemon/src/plugin.rs
@@ -19,7 +19,7 @@
 }
 
 /// Longest sleep between two checks of the stop flag.
-const MAX_NAP: Duration = Duration::from_millis(20);
+const MAX_SLEEP: Duration = Duration::from_millis(20);
 
 /// A thread that runs the same task periodically.
 #[derive(Debug)]
@@ -59,8 +59,8 @@
 /// Sleeps for `left`, or until `stop` is set.
 fn sleep(mut left: Duration, stop: &AtomicBool) {
     while !left.is_zero() && !stop.load(Ordering::Relaxed) {
-        let nap = left.min(MAX_NAP);
-        thread::sleep(nap);
-        left -= nap;
+        let step = left.min(MAX_SLEEP);
+        thread::sleep(step);
+        left -= step;
     }
 }
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -81,7 +81,7 @@
 /// Rebuilds what has changed in the instance list, in the membership or with time. Threads that call it at the same
 /// time run one after the other.
 pub fn refresh(context: &Arc<Context>) {
-    let mut state = lock(&context.preparing);
+    let mut state = lock(&context.refresh_state);
     let active = context.policy();
     update(context, &active, &mut state);
 }
@@ -89,7 +89,7 @@
 /// Makes `next` the active policy. The routing state is rebuilt for it first, so that a request that is handled by the
 /// new policy finds its servers.
 pub fn activate(context: &Arc<Context>, next: Arc<ActivePolicy>) {
-    let mut state = lock(&context.preparing);
+    let mut state = lock(&context.refresh_state);
     if next.regions != context.policy().regions {
         let answer_ttl = Duration::from_millis(context.settings.callers.answer_kept_ms);
         *lock(&context.shift_controller) = Controller::new(next.regions.len(), answer_ttl, context.now());
