--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -19,9 +19,9 @@
 use crate::dialect::AtMostOnce;
 use crate::driver::{Outcome, Outgoing, Submission};
 
-/// Identifies a keyed request; the same on each retry of it.
+/// Identifies a keyed request; the caller repeats it with each send of the request.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Identifies the session that a key belongs to; repeated with the key on each retry.
+/// Identifies the session that a key belongs to; repeated with the key.
 const IDEMPOTENCY_SESSION: HeaderName = HeaderName::from_static("idempotency-session");
 /// Longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
@@ -129,7 +129,8 @@
     outcome.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
-/// Runs a keyed request to completion even if its caller disconnects: the answer is kept for a retry.
+/// Runs a keyed request to completion even if its caller disconnects: the answer is kept in case the caller sends the
+/// request again.
 async fn run_keyed(context: &Arc<Context>, outgoing: Arc<Outgoing>, submission: Submission) -> Outcome {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
--- a/crates/daemon/src/callers/lookup.rs
+++ b/crates/daemon/src/callers/lookup.rs
@@ -84,7 +84,8 @@
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// The caller's IPv4 address: the `client` parameter, or else the peer address. `None` if the parameter is malformed.
+/// The caller's IPv4 address: the `client` parameter, or else the peer address (0.0.0.0 for an IPv6 peer without an
+/// IPv4 equivalent). `None` if the parameter is malformed.
 fn caller_address(query: Option<&str>, peer: IpAddr) -> Option<u32> {
     let address = match query_parameter(query, "client") {
         Some(text) => text.parse::<Ipv4Addr>().ok()?,
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -34,7 +34,7 @@
 use crate::response::Response;
 use crate::view::{Inputs, RefreshState, Steering};
 
-/// Most idempotency keys of sessions that the ledger holds.
+/// Maximum number of idempotency keys of sessions that the ledger holds.
 const MAX_SESSION_KEYS: usize = 65_536;
 
 /// What was last read from the platform's store: entries of backend servers, and what could not be used of them and of
@@ -71,11 +71,11 @@
     pub store: store::Client,
     /// Parser of policy and backend servers in the store; `None` if the platform does not keep them there.
     pub catalog: Option<Catalog>,
-    /// Copy of the store's keys; stays empty without a catalog.
+    /// Mirror of the store's keys; stays empty without a catalog.
     pub mirror: Mutex<store::Mirror>,
-    /// How that copy is kept up to date.
+    /// State of the tasks that keep the mirror up to date.
     pub mirror_sync: SyncState,
-    /// Backend servers as last read from that copy, beside `instance_list`, and what was skipped.
+    /// Entries of backend servers as last read from the mirror, and what could not be used of them and of the policy.
     pub catalog_state: Mutex<CatalogState>,
     /// The policy document in force, as peers may fetch it.
     pub policy_replica: Mutex<Replica>,
@@ -89,9 +89,10 @@
     pub grant_manager: Mutex<Manager>,
     /// Shifts callers between regions by load.
     pub shift_controller: Mutex<Controller>,
-    /// State that look-ups and dispatch read; replaced as a whole.
+    /// The routing state that look-ups and dispatch read; always replaced as a whole.
     pub steering: RwLock<Arc<Steering>>,
-    /// Locked while `steering` is prepared, so that an older state never replaces a newer one.
+    /// What `steering` was last built from. Locked while it is rebuilt, so that an older state never replaces a newer
+    /// one.
     pub refresh_state: Mutex<RefreshState>,
     /// Instances that the platform lists.
     pub instance_list: Mutex<List>,
@@ -197,17 +198,17 @@
         Arc::clone(&self.active_policy.read().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// Returns the state that look-ups and dispatch read.
+    /// Returns the routing state that look-ups and dispatch read.
     pub fn steering(&self) -> Arc<Steering> {
         Arc::clone(&self.steering.read().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// Returns what the state in `steering` was prepared from.
+    /// Returns what the current routing state was built from.
     pub fn steering_inputs(&self) -> Inputs {
         lock(&self.refresh_state).inputs
     }
 
-    /// Replaces the state that look-ups and dispatch read.
+    /// Replaces the routing state that look-ups and dispatch read.
     pub fn set_steering(&self, steering: Steering) {
         *self.steering.write().unwrap_or_else(std::sync::PoisonError::into_inner) = Arc::new(steering);
     }
--- a/crates/daemon/src/decision_log.rs
+++ b/crates/daemon/src/decision_log.rs
@@ -14,7 +14,7 @@
 use crate::driver::Outgoing;
 use crate::view::Steering;
 
-/// Most server names in one line about changes of the list.
+/// Maximum number of server names in one line about changes of the list.
 const MAX_NAMES: usize = 8;
 
 /// Logs where a request is sent and on what basis; `waited` is the time since it arrived.
@@ -134,7 +134,7 @@
     }
 }
 
-/// Joins the first names by commas.
+/// Joins the first [`MAX_NAMES`] names by commas; `,...` stands for any further ones.
 fn joined(names: &[String]) -> String {
     let more = if names.len() > MAX_NAMES { ",..." } else { "" };
     format!("{}{more}", names.iter().take(MAX_NAMES).map(String::as_str).collect::<Vec<_>>().join(","))
--- a/crates/daemon/src/dialect.rs
+++ b/crates/daemon/src/dialect.rs
@@ -14,7 +14,7 @@
     PerSend,
 }
 
-/// Names of headers and paths, and how they are used.
+/// Names of headers and paths, and how they are used. A header that is `None` is neither read nor set.
 #[derive(Debug, Clone)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a property of the wire on its own")]
 pub struct Dialect {
@@ -24,7 +24,7 @@
     pub caller_sets_id: bool,
     /// Header with the milliseconds that the caller still waits, or that the backend server has.
     pub deadline_ms: HeaderName,
-    /// Header with the object that a request is about; a server that handled it lately is faster. `None` if there is none.
+    /// Header with the object that a request is about; a server that handled it lately is faster.
     pub object: Option<HeaderName>,
     /// Header with the name of the intended server; any other refuses the request.
     pub server: Option<HeaderName>,
@@ -38,7 +38,7 @@
     pub not_run: HeaderName,
     /// The value of `not_run` that states so; `None` if its presence is enough.
     pub not_run_value: Option<&'static str>,
-    /// Header that tells a caller whether its request ran.
+    /// Header of replies that states whether the request ran.
     pub outcome: Option<HeaderName>,
     /// Header of health answers with the milliseconds for which a server that has just started stays cold.
     pub cold_ms: Option<HeaderName>,
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -114,7 +114,7 @@
     /// Attempts in flight, by their number.
     running: Mutex<BTreeMap<u64, Running>>,
     next_number: AtomicU64,
-    /// Notified after each change of the engine, whose next wakeup may be another one then.
+    /// Notified after each change of the engine, since the change may move the engine's next wakeup.
     changed: Notify,
 }
 
@@ -177,7 +177,7 @@
         lock(&self.answers).remove(&attempt);
     }
 
-    /// Applies `work` to the engine, then logs its decisions and carries out its actions.
+    /// Applies `work` to the engine, then logs its decisions, carries out its actions and pushes new losses to peers.
     pub fn with_engine_mut<T>(&self, context: &Arc<Context>, work: impl FnOnce(&mut Engine) -> T) -> T {
         let mut engine = lock(&self.engine);
         let result = work(&mut engine);
@@ -288,7 +288,7 @@
             Verdict::Relay(attempt) => lock(&self.answers).get(&attempt).cloned().ok_or(Refusal::from(Kind::Internal)),
         };
         if pending.reply.send(outcome).is_err() {
-            log::debug!("dispatch: answer skipped, caller gone request={request}");
+            log::debug!("dispatch: answer dropped, caller disconnected request={request}");
         }
     }
 }
--- a/crates/daemon/src/grants.rs
+++ b/crates/daemon/src/grants.rs
@@ -113,11 +113,11 @@
     let own = own.map(|(number, entry)| (*number, entry.revision));
     let start = (context.incarnation % u64::from(SLOTS)) as u32;
     let free = (0..SLOTS).map(|step| (start + step) % SLOTS).filter(|number| !stored.contains_key(number));
-    let wanted: Vec<(u32, u64)> = own.chain(free.map(|number| (number, 0))).take(count as usize).collect();
+    let chosen: Vec<(u32, u64)> = own.chain(free.map(|number| (number, 0))).take(count as usize).collect();
     let set = |(number, expect): &(u32, u64)| {
         Change::set(&key::grant(region, *number), *expect, token.clone()).with_lease(lease)
     };
-    let changes: Vec<Change> = wanted.iter().map(set).collect();
+    let changes: Vec<Change> = chosen.iter().map(set).collect();
     if changes.is_empty() {
         let now = context.now();
         return lock(&context.grant_manager).retry_soon(now);
@@ -126,7 +126,7 @@
     let now = context.now();
     let mut manager = lock(&context.grant_manager);
     match commit {
-        Ok(Commit::Done(revision)) => wanted.iter().for_each(|(number, _)| manager.record_acquired(*number, revision)),
+        Ok(Commit::Done(revision)) => chosen.iter().for_each(|(number, _)| manager.record_acquired(*number, revision)),
         Ok(Commit::Conflict) => manager.retry_soon(now),
         Err(error) => log::debug!("grants: slots not acquired reason={:?}", error.to_string()),
     }
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -11,7 +11,7 @@
 use crate::adapter::Adapter;
 use crate::{Context, logs, operators, plugin, policies};
 
-/// Most threads for blocking calls, which claim keyed requests in the store.
+/// Maximum number of threads for blocking calls, which claim keyed requests in the store.
 const MAX_BLOCKING_THREADS: usize = 64;
 /// Time between two checks whether all work is done.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -106,7 +106,7 @@
     async fn wait_for_interrupt(&mut self, context: &Context, path: &Path) {
         loop {
             tokio::select! {
-                _ = self.terminate.recv() => log::info!("life: told to stop again, already stopping"),
+                _ = self.terminate.recv() => log::info!("life: stop signal received again, already stopping"),
                 _ = self.interrupt.recv() => return,
                 _ = self.reload.recv() => reload(context, path),
             }
--- a/crates/daemon/src/list_poller.rs
+++ b/crates/daemon/src/list_poller.rs
@@ -53,7 +53,7 @@
     let now = context.now();
     let mut list = lock(&context.instance_list);
     if instances.is_empty() && !list.items.is_empty() {
-        log::warn!("list: empty list skipped known={}", list.items.len());
+        log::warn!("list: empty list ignored known={}", list.items.len());
         return;
     }
     lock(&context.roster).set_listed(&instances);
--- a/crates/daemon/src/logs/writer.rs
+++ b/crates/daemon/src/logs/writer.rs
@@ -8,10 +8,10 @@
 use super::budget::Budget;
 use crate::clock::Clock;
 
-/// Most lines that wait to be written.
+/// Maximum number of lines that wait to be written.
 const MAX_WAITING: usize = 1_024;
 
-/// Field of a line that tells how many were left out before it.
+/// Field with the number of lines that were left out before its line.
 const LEFT_OUT_FIELD: &str = "lines_left_out";
 
 /// Lines left out; one count for the process, which has one standard output.
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -28,9 +28,9 @@
     pub attempt_time: HistogramVec,
     /// Ejections of backend servers.
     pub ejections: IntCounter,
-    /// Backend servers that announced that they leave before the list said so.
+    /// Announcements of backend servers that they leave, made before the list showed it.
     pub servers_leaving: IntCounter,
-    /// Answers by which backend servers asked for a pause.
+    /// Answers by which backend servers announced a pause.
     pub servers_paused: IntCounter,
     /// Stalls of the process.
     pub stalls: IntCounter,
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -17,7 +17,8 @@
 
 /// Largest request body that is read and discarded, in bytes.
 const MAX_BODY_BYTES: u64 = 65_536;
-/// Thresholds of the metric of silent members, in seconds: 5 is a few exchanges; from 30 on an operator should look into it.
+/// Thresholds of the metric of silent members, in seconds: 5 is a few exchanges; from 30 on an operator should
+/// investigate.
 const SILENCE_THRESHOLDS_S: [u64; 3] = [5, 30, 120];
 
 inventory::submit! {
@@ -136,14 +137,23 @@
 #[derive(Debug, Serialize)]
 #[expect(clippy::struct_excessive_bools, reason = "each is shown on its own")]
 struct Backend {
+    /// Name, or the id of a server that was removed meanwhile.
     name: String,
+    /// This daemon's attempts in flight.
     in_flight: u32,
+    /// Maximum number of this daemon's attempts in flight.
     limit: u32,
+    /// All work at the server, in requests, as far as known.
     load: f64,
+    /// How long work takes at the server, relative to the typical latency.
     ratio: f64,
+    /// Whether the server is drained, was removed or announced that it leaves.
     leaving: bool,
+    /// Whether the server is ejected, or was and has not passed its trial yet.
     suspect: bool,
+    /// Whether the server gets no work now, because of an ejection, a shed request or a pause.
     closed: bool,
+    /// Whether this daemon may run waiting work there.
     hosts_waiting_work: bool,
 }
 
@@ -152,16 +162,24 @@
     instance: String,
     region: String,
     domain: String,
+    /// Revision of the policy that the routing state was built from; zero for the policy of the settings or none.
     revision: u64,
     ready: Readiness,
+    /// Seconds since the store last answered; since one second before the start if it never did.
     store_silent_s: f64,
     members: Vec<Member>,
+    /// Entry instances with their standing.
     entries: Vec<String>,
+    /// Fraction of each region's callers (row) that is steered to each region (column).
     shares: Vec<Vec<f64>>,
+    /// Fraction of the region's grants that this daemon may use.
     grant_share: f64,
     backends: Vec<Backend>,
+    /// Requests that are waiting or running.
     open: usize,
+    /// Requests that are waiting, held ones included.
     queued: usize,
+    /// Fingerprints whose requests are refused because they crashed servers.
     poisonous: usize,
     drains: Vec<config::policy::Drain>,
     /// What is not used of the policy and of the entries of backend servers, one reason each.
@@ -232,7 +250,7 @@
     now.since(Time::from_micros(time.load(Ordering::Relaxed))).as_secs_f64()
 }
 
-/// Updates the metrics that tell how old the daemon's knowledge is.
+/// Updates the metrics that are computed only when they are read: ages, silent members and log lines left out.
 fn update_ages(context: &Context) {
     let now = context.now();
     let list_read_at = lock(&context.instance_list).read_at.unwrap_or(Time::ZERO);
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -60,7 +60,8 @@
     lock(&context.roster).answer(message, revision, now)
 }
 
-/// Merges a peer's message, and starts fetching the peer's policy if that is newer.
+/// Applies a peer's message: merges members, loads, losses and leaving servers, and starts fetching the peer's policy
+/// if that is newer.
 pub fn apply_message(context: &Arc<Context>, message: &Message) {
     let now = context.now();
     lock(&context.roster).merge(message, now);
@@ -137,9 +138,9 @@
                 }
                 return;
             }
-            Err(error) => log::debug!("peers: seed skipped peer={seed} reason={:?}", error.to_string()),
+            Err(error) => log::debug!("peers: seed did not answer peer={seed} reason={:?}", error.to_string()),
         }
-        // Full jitter keeps the daemons of a whole failure domain that start at once from asking all together.
+        // Full jitter keeps the daemons of a failure domain that all start at once from asking at the same time.
         let max_delay = base.saturating_mul(1 << attempts.min(6)).min(MAX_JOIN_BACKOFF);
         tokio::time::sleep(max_delay.mul_f64(rng.f64())).await;
     }
@@ -160,14 +161,14 @@
 }
 
 /// Registers with a seed that has just started itself, and requests its snapshot again after [`REGISTRATION_TIME`].
-/// Without this, daemons that all start together would each take itself for the only one of its region.
+/// Without this, daemons that all start together would not know each other, and each would act as its region's leader.
 async fn rejoin(context: &Arc<Context>, seed: &str) {
     exchange_with(context, seed, seed, message(context)).await;
     tokio::time::sleep(REGISTRATION_TIME).await;
     let Some(client) = client::client(context, seed) else { return };
     match client.snapshot().await {
         Ok(snapshot) => apply_snapshot(context, snapshot, seed),
-        Err(error) => log::debug!("peers: seed skipped peer={seed} reason={:?}", error.to_string()),
+        Err(error) => log::debug!("peers: seed did not answer peer={seed} reason={:?}", error.to_string()),
     }
 }
 
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -93,6 +93,7 @@
     }
 }
 
+/// Sends `message` to a peer on a task of its own.
 fn spawn_exchange(context: &Arc<Context>, name: String, address: String, message: Message) {
     let context = Arc::clone(context);
     let runtime = context.runtime.clone();
--- a/crates/daemon/src/plugin.rs
+++ b/crates/daemon/src/plugin.rs
@@ -59,8 +59,8 @@
 /// Sleeps for `left`, or until `stop` is set.
 fn sleep(mut left: Duration, stop: &AtomicBool) {
     while !left.is_zero() && !stop.load(Ordering::Relaxed) {
-        let step = left.min(MAX_SLEEP);
-        thread::sleep(step);
-        left -= step;
+        let pause = left.min(MAX_SLEEP);
+        thread::sleep(pause);
+        left -= pause;
     }
 }
--- a/crates/daemon/src/policies.rs
+++ b/crates/daemon/src/policies.rs
@@ -45,17 +45,17 @@
         Self { revision, policy, classes, services, regions, table }
     }
 
-    /// Returns the position of a service.
+    /// Returns the position of a service; `None` if no class of this policy or of an earlier one refers to it.
     pub fn service_position(&self, name: &str) -> Option<u16> {
         self.services.iter().position(|service| service == name).map(|position| position as u16)
     }
 
-    /// Returns the position of a region.
+    /// Returns the position of a region; `None` if the policy does not have it.
     pub fn region_position(&self, name: &str) -> Option<u16> {
         self.regions.iter().position(|region| region == name).map(|position| position as u16)
     }
 
-    /// Returns the position of a class.
+    /// Returns the position of a class; `None` if neither this policy nor an earlier one has it.
     pub fn class_position(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == name)
     }
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -23,8 +23,8 @@
 use crate::instance_list::Item;
 use crate::policies::ActivePolicy;
 
-/// Fraction of the allowed second sends that is used. The rest is a margin, since requests are counted in windows and
-/// the daemons' views of the membership differ.
+/// Fraction of the allowed hedges and retries that is used. The rest is a margin, since requests are counted in windows
+/// and the daemons' views of the membership differ.
 const REPEAT_UTILIZATION: f64 = 0.8;
 
 /// An immutable snapshot of the routing state.
@@ -166,8 +166,8 @@
     context.steering()
 }
 
-/// Returns this daemon's budgets. Its share of the second sends that all daemons may cause together assumes twice as
-/// many daemons as are known, since there may be others that this one has not seen yet.
+/// Returns this daemon's budgets. Its share of the accumulated hedges and retries that all daemons may cause together
+/// assumes twice as many daemons as are known, since there may be others that this one has not seen yet.
 fn budgets(context: &Context, daemons: usize) -> Budgets {
     let settings = &context.settings.dispatch;
     let daemons = 2.0 * daemons as f64;
@@ -179,8 +179,9 @@
     }
 }
 
-/// Returns what this daemon may use of each other region. The part of a region that others may use is divided equally
-/// between all other regions, and this region's share by the grants of its daemons.
+/// Returns what this daemon may use of each other region. The capacity of a region that others may use is divided
+/// equally among all other regions, and this region's share among its daemons by their grants. The setting
+/// `dispatch.open_links` lifts all limits.
 fn remotes(context: &Context, slots: &BTreeMap<String, u32>, active: &ActivePolicy, now: Time) -> Vec<(u16, Remote)> {
     if context.settings.dispatch.open_links {
         return (0..active.regions.len() as u16).map(|region| (region, Remote::UNLIMITED)).collect();
--- a/crates/daemon/src/view/servers.rs
+++ b/crates/daemon/src/view/servers.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns the backend servers that this daemon uses. A server whose service is not part of the policy is not used;
-    /// any other one is used by at most `MAX_DAEMONS_PER_BACKEND` daemons of this region.
+    /// any other one, in this region or elsewhere, is used by at most `MAX_DAEMONS_PER_BACKEND` daemons of this region.
     pub fn used<'a>(&mut self, items: &'a [Item], active: &ActivePolicy) -> Vec<&'a Item> {
         let used = |item: &&Item| {
             let Item { id, instance, .. } = item;
--- a/crates/daemon/tests/logs.rs
+++ b/crates/daemon/tests/logs.rs
@@ -14,6 +14,7 @@
 use log::{Level, LevelFilter, Log, Metadata, Record};
 use rstest::rstest;
 
+/// Guards against a budget that leaves out lines below its rate, or does not count the lines that it leaves out.
 #[test]
 fn a_budget_passes_its_lines_a_second_and_counts_the_others() {
     let start = Time::from_millis(1_000);
@@ -58,6 +59,7 @@
     }
 }
 
+/// Guards against a daemon that blocks because nobody reads its standard output.
 #[test]
 fn a_reader_that_reads_nothing_blocks_no_writer() {
     let (started, writing) = channel();
@@ -78,6 +80,7 @@
     Settings::parse("test", &format!("{log_settings}{SETTINGS}")).expect("the settings are good")
 }
 
+/// Guards against a component's own level that is ignored or applied to other components.
 #[rstest]
 #[case("", "dispatch: sent", Level::Info, true)]
 #[case("", "dispatch: sent", Level::Debug, false)]
@@ -88,6 +91,7 @@
     assert_eq!(Levels::new(&settings(text)).allow(line, level), written);
 }
 
+/// Guards against log levels that need a restart, and against a reload that applies some of the invalid settings.
 #[test]
 fn a_reload_applies_the_levels_and_bad_settings_change_nothing() {
     let runtime = tokio::runtime::Runtime::new().expect("it starts");
@@ -117,6 +121,7 @@
     }
 }
 
+/// Guards against lines that are missing from the log without a sign of it, or that are counted wrongly.
 #[test]
 fn the_next_line_has_the_number_of_lines_left_out_in_a_field() {
     let (lines, written) = channel();
@@ -157,6 +162,7 @@
     fn flush(&self) {}
 }
 
+/// Guards against panics, also those of libraries' threads, that are not in the log.
 #[test]
 fn a_panic_of_any_thread_is_a_line_of_the_log() {
     log::set_logger(&PANICS).expect("no other test of this file logs");
--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -97,6 +97,7 @@
     }
 }
 
+/// Guards against invalid requests that reach a backend server, or whose error does not name the reason.
 #[test]
 fn bad_requests_get_a_clear_error_and_run_nothing() {
     let harness = Harness::new(51);
@@ -123,6 +124,7 @@
     assert_eq!(harness.backend.served(), before, "no request ran");
 }
 
+/// Guards against callers that occupy connections forever by sending slowly, endlessly or nothing.
 #[test]
 fn slow_and_endless_senders_are_disconnected() {
     let harness = Harness::new(52);
@@ -144,6 +146,8 @@
     drop(silent);
 }
 
+/// Guards against errors that state wrongly whether an order ran: after a wrong "not run" the caller would run it
+/// twice.
 #[rstest]
 #[case::cut("{\"cut\":true}", 53, "502", "answer-cut")]
 #[case::silent("{\"silent\":true}", 54, "504", "backend-timeout")]
@@ -187,6 +191,8 @@
     assert_eq!(harness.backend.runs().get("k"), Some(&1));
 }
 
+/// Fault: the store is down. Orders whose key belongs to a session of this daemon need no claim and still run once; a
+/// key of another incarnation's session is refused, since this daemon has no record of it.
 #[test]
 fn a_session_runs_orders_without_the_store() {
     let harness = Harness::new(57);
@@ -208,6 +214,7 @@
     assert_eq!(harness.backend.runs().get("k"), Some(&1));
 }
 
+/// Guards against a failed start whose error does not name the setting to change.
 #[test]
 fn an_address_in_use_is_named_in_the_error() {
     let harness = Harness::new(58);
@@ -251,6 +258,7 @@
     fn flush(&self) {}
 }
 
+/// Guards against decisions on a request that are missing from the log or logged twice, and against missing fields.
 #[test]
 fn each_decision_on_a_request_is_one_line_with_its_fields() {
     log::set_logger(&RECORDER).expect("no other logger is set");
@@ -283,6 +291,7 @@
     }
 }
 
+/// Guards against pipelined requests that are answered in the order in which they finish; here the first is slower.
 #[test]
 fn requests_sent_at_once_on_one_connection_are_answered_in_their_order() {
     let harness = Harness::new(59);
