--- a/crates/daemon/src/backends/attempt.rs
+++ b/crates/daemon/src/backends/attempt.rs
@@ -86,7 +86,7 @@
     });
 }
 
-/// Runs the steps of an attempt. Returns how it ended, and the response if it is to be relayed to the caller.
+/// Runs the steps of an attempt. Returns how it ended, and the response if the caller gets it.
 async fn execute(
     context: &Arc<Context>,
     outgoing: &Arc<Outgoing>,
@@ -200,8 +200,12 @@
     }
 }
 
-/// Records the load and announcements in an answer. Returns how the attempt ended, and the response if it is to be
-/// relayed to the caller.
+/// Records the load and announcements in an answer. Returns how the attempt ended, and the response if the caller gets
+/// it.
+///
+/// A misdirected request (status 421) reached another server than it was meant for, so its server counts as
+/// unreachable. An answer counts as cut if the dialect requires framing that it lacks, or if it is a success that is not
+/// signed as the dialect requires or has a content encoding.
 fn classify_answer(context: &Arc<Context>, attempt: Attempt, answer: Answer) -> (Ending, Option<Arc<Response>>) {
     let dialect = &context.dialect;
     load::record(context, attempt.backend, &answer.headers);
@@ -239,7 +243,7 @@
     Response { status: answer.status, headers, body: answer.body }
 }
 
-/// The ending of an attempt whose exchange failed with `fault`.
+/// Returns the ending of an attempt whose exchange failed with `fault`.
 const fn ending_of(fault: Fault) -> Ending {
     match fault {
         Fault::Unsent => Ending::Unreachable,
@@ -249,7 +253,7 @@
     }
 }
 
-/// The headers of a request as sent to `target`: those forwarded from the caller and those of the dialect.
+/// Returns the headers of a request as sent to `target`: those forwarded from the caller and those of the dialect.
 fn request_headers(context: &Context, outgoing: &Outgoing, attempt: Attempt, target: &Target) -> HeaderMap {
     let dialect = &context.dialect;
     let mut headers = outgoing.headers.clone();
@@ -279,7 +283,7 @@
 fn insert_header(headers: &mut HeaderMap, name: &http::HeaderName, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => drop(headers.insert(name, value)),
-        Err(_) => log::warn!("dispatch: header left out name={name} value={value:?}"),
+        Err(_) => log::warn!("dispatch: header left out, not valid in HTTP name={name} value={value:?}"),
     }
 }
 
@@ -289,7 +293,7 @@
     headers
 }
 
-/// The address of a backend server; `None` if the server was removed or its address is not usable.
+/// Returns the address of a backend server; `None` if the server was removed or its address is not usable.
 fn resolve_target(context: &Context, backend: BackendId) -> Option<Target> {
     let steering = context.steering();
     let instance = steering.backends.get(&backend)?;
@@ -301,7 +305,7 @@
     Some(Target { address, name: instance.name.clone(), remote })
 }
 
-/// The id of an attempt on the wire, unique over all incarnations.
+/// Returns the id of an attempt on the wire, unique over all incarnations.
 fn attempt_id(context: &Context, attempt: u64) -> String {
     format!("{:016x}-{attempt}", context.incarnation)
 }
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -143,7 +143,7 @@
     task.await.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
-/// The id of a request in logs: the one that the caller gave to this send, or a new one.
+/// Returns the id of a request in logs: the one that the caller gave to this send, or a new one.
 fn request_id(context: &Context, headers: &HeaderMap) -> String {
     let given = head::text(headers, &context.dialect.request_id).filter(|_| context.dialect.caller_sets_id);
     given.map_or_else(
@@ -166,7 +166,7 @@
     }
 }
 
-/// What the dispatch engine needs of a request, from its class and headers.
+/// Returns what the dispatch engine needs of a request, from its class and headers.
 fn submission(context: &Context, class: usize, fingerprint: u64, headers: &HeaderMap) -> Submission {
     let dialect = &context.dialect;
     let milliseconds = head::text(headers, &dialect.deadline_ms).and_then(|text| text.trim().parse().ok());
@@ -198,19 +198,19 @@
     })
 }
 
-/// A hash of the method, the target and the body: equal for a request that is sent again.
+/// Returns a hash of the method, the target and the body: equal for a request that is sent again.
 fn fingerprint(method: &str, target: &str, body: &Bytes) -> u64 {
     hash::combine(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
 }
 
-/// The host that the request's `Host` header names, without the port; empty if the header is missing.
+/// Returns the host that the request's `Host` header names, without the port; empty if the header is missing.
 fn host(headers: &HeaderMap) -> &str {
     let host = head::text(headers, &HOST).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
-/// The caller's headers that are forwarded to the backend server: all but those that frame the body, apply to one hop
-/// or are set by the daemon.
+/// Returns the caller's headers that are forwarded to the backend server: all but those that frame the body, apply to
+/// one hop or are set by the daemon.
 fn forwarded_headers(context: &Context, headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = HeaderMap::with_capacity(headers.len());
     let is_forwarded = |name: &HeaderName| {
--- a/crates/daemon/src/callers/lookup.rs
+++ b/crates/daemon/src/callers/lookup.rs
@@ -78,14 +78,14 @@
     Reply::json(&Addresses { addresses, ttl_s: context.settings.callers.answer_ttl_s })
 }
 
-/// The value of the query parameter `name`.
+/// Returns the value of the query parameter `name`.
 fn query_parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let mut pairs = query.unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// The caller's IPv4 address: the `client` parameter, or else the peer address (0.0.0.0 for an IPv6 peer without an
-/// IPv4 equivalent). `None` if the parameter is malformed.
+/// Returns the caller's IPv4 address: the `client` parameter, or else the peer address (0.0.0.0 for an IPv6 peer
+/// without an IPv4 equivalent). `None` if the parameter is malformed.
 fn caller_address(query: Option<&str>, peer: IpAddr) -> Option<u32> {
     let address = match query_parameter(query, "client") {
         Some(text) => text.parse::<Ipv4Addr>().ok()?,
--- a/crates/daemon/src/callers/reply.rs
+++ b/crates/daemon/src/callers/reply.rs
@@ -33,7 +33,8 @@
     advice: &'static str,
 }
 
-/// The value of `Retry-After`: whole seconds, rounded up, or seconds with three decimals if callers read fractions.
+/// Returns the value of `Retry-After`: whole seconds, rounded up, or seconds with three decimals if callers accept
+/// fractions.
 fn retry_after_value(time: Duration, fractions: bool) -> HeaderValue {
     if fractions {
         let text = format!("{:.3}", time.as_secs_f64());
@@ -43,7 +44,7 @@
 }
 
 impl Reply {
-    /// A reply with `value` as JSON and status 200, or status 500 if `value` cannot be serialized.
+    /// Returns a reply with `value` as JSON and status 200, or status 500 if `value` cannot be serialized.
     pub fn json<T: Serialize>(value: &T) -> Self {
         let (status, body) = match serde_json::to_vec(value) {
             Ok(body) => (StatusCode::OK, body),
@@ -57,12 +58,12 @@
         Self { status, headers, body: body.into(), close: false }
     }
 
-    /// The reply for an error of `kind`.
+    /// Returns the reply for an error of `kind`.
     pub fn error(kind: Kind, dialect: &Dialect) -> Self {
         Self::refusal(kind.into(), dialect)
     }
 
-    /// The reply to a request that no backend server answered.
+    /// Returns the reply to a request that no backend server answered.
     pub fn refusal(refusal: Refusal, dialect: &Dialect) -> Self {
         let Refusal { kind, retry_after } = refusal;
         let answer = kind.answer();
@@ -80,7 +81,7 @@
         reply
     }
 
-    /// A backend server's response, passed on to the caller.
+    /// Returns the reply that passes a backend server's response on to the caller.
     pub fn from_response(response: &Response, dialect: &Dialect) -> Self {
         let mut headers = response.headers.clone();
         if let Some(outcome) = &dialect.outcome {
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -238,7 +238,7 @@
 }
 
 /// Locks `mutex`, also after a thread panicked while it held the lock: the state is still consistent, since no decision
-/// panics half-way.
+/// panics in the middle of a change.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry daemon: plug-ins over the pure decisions.
+//! The entry daemon: plug-ins that do the input and output for the decisions of the crates `dispatch`, `steer`, `fleet`
+//! and `ledger`.
 
 pub mod adapter;
 pub mod at_most_once;
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -67,7 +67,9 @@
     logs::set(logs::Levels::new(&settings));
     let mut differing = match context.settings.differing(&settings) {
         Ok(differing) => differing,
-        Err(error) => return log::warn!("life: reloaded, what differs is unknown reason={:?}", error.to_string()),
+        Err(error) => {
+            return log::warn!("life: reloaded, settings could not be compared reason={:?}", error.to_string());
+        }
     };
     differing.retain(|name| !name.starts_with("log") || name == "log_lines");
     let names = differing.join(",");
--- a/crates/daemon/src/logs/mod.rs
+++ b/crates/daemon/src/logs/mod.rs
@@ -46,7 +46,7 @@
         writeln!(out, "{} {level:<5} instance={instance} {text}{}", timestamp(), fields.0)
     });
     if builder.try_init().is_err() {
-        log::debug!("logs: started already");
+        log::debug!("logs: another logger is set already");
     }
     set(Levels::new(settings));
 }
