--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -19,9 +19,9 @@
 use crate::dialect::AtMostOnce;
 use crate::driver::{Outcome, Outgoing, Submission};
 
-/// Identifies a keyed request; the same on each retry of it.
+/// Identifies a keyed request; the caller repeats it with each send of the request.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Identifies the session that a key belongs to; repeated with the key on each retry.
+/// Identifies the session that a key belongs to; repeated with the key.
 const IDEMPOTENCY_SESSION: HeaderName = HeaderName::from_static("idempotency-session");
 /// Longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
@@ -53,24 +53,24 @@
 
 /// Whether a request may safely run more than once. A request without a class runs nowhere and counts as idempotent.
 pub fn is_idempotent(context: &Context, head: &head::Request) -> bool {
-    let in_force = context.policy();
-    let class = in_force.policy.class_of(host(&head.headers), head.path());
+    let active = context.policy();
+    let class = active.policy.class_of(host(&head.headers), head.path());
     class.is_none_or(|(_, class)| class.idempotent)
 }
 
 /// Finds the class of a request and dispatches it. Returns the name of the class, if the request has one, and the
 /// outcome.
 async fn run(context: &Arc<Context>, incoming: Incoming, id: &str, now: Time) -> (Option<String>, Outcome) {
-    let in_force = context.policy();
-    if in_force.policy.regions.is_empty() {
+    let active = context.policy();
+    if active.policy.regions.is_empty() {
         return (None, Err(Kind::NoPolicy.into()));
     }
     let head = &incoming.head;
-    let found = in_force.policy.class_of(host(&head.headers), head.path());
+    let found = active.policy.class_of(host(&head.headers), head.path());
     let Some((name, class)) = found else {
         return (None, Err(Kind::UnknownRoute.into()));
     };
-    let Some(position) = in_force.class_position(name) else {
+    let Some(position) = active.class_position(name) else {
         return (None, Err(Kind::UnknownRoute.into()));
     };
     let (name, idempotent) = (name.to_owned(), class.idempotent);
@@ -116,7 +116,7 @@
         target: head.target,
         headers: forwarded_headers(context, &head.headers),
         body,
-        caller_deadline: submission.limit.map(|limit| now + limit),
+        caller_deadline: submission.timeout.map(|timeout| now + timeout),
         idempotent,
         keyed,
     });
@@ -129,7 +129,8 @@
     outcome.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
-/// Runs a keyed request to completion even if its caller disconnects: the answer is kept for a retry.
+/// Runs a keyed request to completion even if its caller disconnects: the answer is kept in case the caller sends the
+/// request again.
 async fn run_keyed(context: &Arc<Context>, outgoing: Arc<Outgoing>, submission: Submission) -> Outcome {
     let shared = Arc::clone(context);
     let task = context.runtime.spawn(async move {
@@ -142,7 +143,7 @@
     task.await.unwrap_or_else(|_| Err(Kind::Internal.into()))
 }
 
-/// The id of a request in logs: the one that the caller gave to this send, or a new one.
+/// Returns the id of a request in logs: the one that the caller gave to this send, or a new one.
 fn request_id(context: &Context, headers: &HeaderMap) -> String {
     let given = head::text(headers, &context.dialect.request_id).filter(|_| context.dialect.caller_sets_id);
     given.map_or_else(
@@ -165,7 +166,7 @@
     }
 }
 
-/// What the dispatch engine needs of a request, from its class and headers.
+/// Returns what the dispatch engine needs of a request, from its class and headers.
 fn submission(context: &Context, class: usize, fingerprint: u64, headers: &HeaderMap) -> Submission {
     let dialect = &context.dialect;
     let milliseconds = head::text(headers, &dialect.deadline_ms).and_then(|text| text.trim().parse().ok());
@@ -173,7 +174,7 @@
     Submission {
         class,
         fingerprint,
-        limit: milliseconds.map(Duration::from_millis),
+        timeout: milliseconds.map(Duration::from_millis),
         object: object.map(|value| hash::bytes(value.as_bytes())),
     }
 }
@@ -197,19 +198,19 @@
     })
 }
 
-/// A hash of the method, the target and the body: equal for a request that is sent again.
+/// Returns a hash of the method, the target and the body: equal for a request that is sent again.
 fn fingerprint(method: &str, target: &str, body: &Bytes) -> u64 {
     hash::combine(hash::bytes(format!("{method} {target}").as_bytes()), hash::bytes(body))
 }
 
-/// The host that the request's `Host` header names, without the port; empty if the header is missing.
+/// Returns the host that the request's `Host` header names, without the port; empty if the header is missing.
 fn host(headers: &HeaderMap) -> &str {
     let host = head::text(headers, &HOST).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
-/// The caller's headers that are forwarded to the backend server: all but those that frame the body, apply to one hop
-/// or are set by the daemon.
+/// Returns the caller's headers that are forwarded to the backend server: all but those that frame the body, apply to
+/// one hop or are set by the daemon.
 fn forwarded_headers(context: &Context, headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = HeaderMap::with_capacity(headers.len());
     let is_forwarded = |name: &HeaderName| {
@@ -224,8 +225,8 @@
 
 /// Records whether an answer met its class's target; errors of the caller do not count.
 fn record_burn(context: &Context, class: &str, outcome: &Outcome, latency: Duration) {
-    let in_force = context.policy();
-    let Some(target) = in_force.policy.classes.get(class) else {
+    let active = context.policy();
+    let Some(target) = active.policy.classes.get(class) else {
         return;
     };
     let server_fault = match outcome {
--- a/crates/daemon/src/callers/lookup.rs
+++ b/crates/daemon/src/callers/lookup.rs
@@ -38,7 +38,7 @@
     };
     context.metrics.lookups.inc();
     let steering = context.steering();
-    let in_force = context.policy();
+    let active = context.policy();
     let limit = context.settings.callers.answer_entries as usize;
     let found = steer::answer::look_up(&steering.table, &steering.view, &steering.shares, address, limit);
     let entries = found.positions().iter().filter_map(|position| steering.view.entry(*position));
@@ -47,12 +47,12 @@
     if entries.is_empty() {
         return Reply::error(Kind::NoBackend, &context.dialect);
     }
-    let region = found.region.and_then(|region| in_force.regions.get(usize::from(region)));
+    let region = found.region.and_then(|region| active.regions.get(usize::from(region)));
     Reply::json(&Answer {
         entries,
         ttl_s: context.settings.callers.answer_ttl_s,
         region: region.map_or("", String::as_str),
-        revision: in_force.revision,
+        revision: active.revision,
         session: context.session(),
     })
 }
@@ -78,13 +78,14 @@
     Reply::json(&Addresses { addresses, ttl_s: context.settings.callers.answer_ttl_s })
 }
 
-/// The value of the query parameter `name`.
+/// Returns the value of the query parameter `name`.
 fn query_parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let mut pairs = query.unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// The caller's IPv4 address: the `client` parameter, or else the peer address. `None` if the parameter is malformed.
+/// Returns the caller's IPv4 address: the `client` parameter, or else the peer address (0.0.0.0 for an IPv6 peer
+/// without an IPv4 equivalent). `None` if the parameter is malformed.
 fn caller_address(query: Option<&str>, peer: IpAddr) -> Option<u32> {
     let address = match query_parameter(query, "client") {
         Some(text) => text.parse::<Ipv4Addr>().ok()?,
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -11,7 +11,7 @@
 use crate::adapter::Adapter;
 use crate::{Context, logs, operators, plugin, policies};
 
-/// Most threads for blocking calls, which claim keyed requests in the store.
+/// Maximum number of threads for blocking calls, which claim keyed requests in the store.
 const MAX_BLOCKING_THREADS: usize = 64;
 /// Time between two checks whether all work is done.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -67,7 +67,9 @@
     logs::set(logs::Levels::new(&settings));
     let mut differing = match context.settings.differing_keys(&settings) {
         Ok(differing) => differing,
-        Err(error) => return log::warn!("life: reloaded, what differs is unknown reason={:?}", error.to_string()),
+        Err(error) => {
+            return log::warn!("life: reloaded, settings could not be compared reason={:?}", error.to_string());
+        }
     };
     differing.retain(|name| !name.starts_with("log") || name == "log_lines");
     let names = differing.join(",");
@@ -106,7 +108,7 @@
     async fn wait_for_interrupt(&mut self, context: &Context, path: &Path) {
         loop {
             tokio::select! {
-                _ = self.terminate.recv() => log::info!("life: told to stop again, already stopping"),
+                _ = self.terminate.recv() => log::info!("life: stop signal received again, already stopping"),
                 _ = self.interrupt.recv() => return,
                 _ = self.reload.recv() => reload(context, path),
             }
--- a/crates/daemon/src/peers/exchange.rs
+++ b/crates/daemon/src/peers/exchange.rs
@@ -60,8 +60,9 @@
     lock(&context.roster).answer(message, revision, now)
 }
 
-/// Merges a peer's message, and starts fetching the peer's policy if that is newer.
-pub fn apply(context: &Arc<Context>, message: &Message) {
+/// Applies a peer's message: merges members, loads, losses and leaving servers, and starts fetching the peer's policy
+/// if that is newer.
+pub fn apply_message(context: &Arc<Context>, message: &Message) {
     let now = context.now();
     lock(&context.roster).merge(message, now);
     if !message.losses.is_empty() {
@@ -82,7 +83,7 @@
 }
 
 /// Sends `message` to one peer and applies its answer; records a failure in the roster.
-pub async fn send(context: &Arc<Context>, name: &str, address: &str, message: Message) {
+pub async fn exchange_with(context: &Arc<Context>, name: &str, address: &str, message: Message) {
     let Some(client) = client::client(context, address) else {
         return;
     };
@@ -90,7 +91,7 @@
         Ok(answer) => {
             context.metrics.exchanges.with_label_values(&["ok"]).inc();
             context.peer_answered_at.store(context.now().as_micros(), Ordering::Relaxed);
-            apply(context, &answer);
+            apply_message(context, &answer);
         }
         Err(error) => {
             context.metrics.exchanges.with_label_values(&["failed"]).inc();
@@ -137,9 +138,9 @@
                 }
                 return;
             }
-            Err(error) => log::debug!("peers: seed skipped peer={seed} reason={:?}", error.to_string()),
+            Err(error) => log::debug!("peers: seed did not answer peer={seed} reason={:?}", error.to_string()),
         }
-        // Full jitter keeps the daemons of a whole failure domain that start at once from asking all together.
+        // Full jitter keeps the daemons of a failure domain that all start at once from asking at the same time.
         let max_delay = base.saturating_mul(1 << attempts.min(6)).min(MAX_JOIN_BACKOFF);
         tokio::time::sleep(max_delay.mul_f64(rng.f64())).await;
     }
@@ -160,14 +161,14 @@
 }
 
 /// Registers with a seed that has just started itself, and requests its snapshot again after [`REGISTRATION_TIME`].
-/// Without this, daemons that all start together would each take itself for the only one of its region.
+/// Without this, daemons that all start together would not know each other, and each would act as its region's leader.
 async fn rejoin(context: &Arc<Context>, seed: &str) {
-    send(context, seed, seed, message(context)).await;
+    exchange_with(context, seed, seed, message(context)).await;
     tokio::time::sleep(REGISTRATION_TIME).await;
     let Some(client) = client::client(context, seed) else { return };
     match client.snapshot().await {
         Ok(snapshot) => apply_snapshot(context, snapshot, seed),
-        Err(error) => log::debug!("peers: seed skipped peer={seed} reason={:?}", error.to_string()),
+        Err(error) => log::debug!("peers: seed did not answer peer={seed} reason={:?}", error.to_string()),
     }
 }
 
@@ -185,7 +186,7 @@
             roster.next_target(now)
         };
         if let Some((name, address)) = target {
-            send(context, &name, &address, message(context)).await;
+            exchange_with(context, &name, &address, message(context)).await;
         }
     }
 }
--- a/crates/daemon/src/view/mod.rs
+++ b/crates/daemon/src/view/mod.rs
@@ -23,8 +23,8 @@
 use crate::instance_list::Item;
 use crate::policies::ActivePolicy;
 
-/// Fraction of the allowed second sends that is used. The rest is a margin, since requests are counted in windows and
-/// the daemons' views of the membership differ.
+/// Fraction of the allowed hedges and retries that is used. The rest is a margin, since requests are counted in windows
+/// and the daemons' views of the membership differ.
 const REPEAT_UTILIZATION: f64 = 0.8;
 
 /// An immutable snapshot of the routing state.
@@ -81,7 +81,7 @@
 /// Rebuilds what has changed in the instance list, in the membership or with time. Threads that call it at the same
 /// time run one after the other.
 pub fn refresh(context: &Arc<Context>) {
-    let mut state = lock(&context.preparing);
+    let mut state = lock(&context.refresh_state);
     let active = context.policy();
     update(context, &active, &mut state);
 }
@@ -89,7 +89,7 @@
 /// Makes `next` the active policy. The routing state is rebuilt for it first, so that a request that is handled by the
 /// new policy finds its servers.
 pub fn activate(context: &Arc<Context>, next: Arc<ActivePolicy>) {
-    let mut state = lock(&context.preparing);
+    let mut state = lock(&context.refresh_state);
     if next.regions != context.policy().regions {
         let answer_ttl = Duration::from_millis(context.settings.callers.answer_kept_ms);
         *lock(&context.shift_controller) = Controller::new(next.regions.len(), answer_ttl, context.now());
@@ -166,8 +166,8 @@
     context.steering()
 }
 
-/// Returns this daemon's budgets. Its share of the second sends that all daemons may cause together assumes twice as
-/// many daemons as are known, since there may be others that this one has not seen yet.
+/// Returns this daemon's budgets. Its share of the accumulated hedges and retries that all daemons may cause together
+/// assumes twice as many daemons as are known, since there may be others that this one has not seen yet.
 fn budgets(context: &Context, daemons: usize) -> Budgets {
     let settings = &context.settings.dispatch;
     let daemons = 2.0 * daemons as f64;
@@ -179,8 +179,9 @@
     }
 }
 
-/// Returns what this daemon may use of each other region. The part of a region that others may use is divided equally
-/// between all other regions, and this region's share by the grants of its daemons.
+/// Returns what this daemon may use of each other region. The capacity of a region that others may use is divided
+/// equally among all other regions, and this region's share among its daemons by their grants. The setting
+/// `dispatch.open_links` lifts all limits.
 fn remotes(context: &Context, slots: &BTreeMap<String, u32>, active: &ActivePolicy, now: Time) -> Vec<(u16, Remote)> {
     if context.settings.dispatch.open_links {
         return (0..active.regions.len() as u16).map(|region| (region, Remote::UNLIMITED)).collect();
