--- a/crates/demo/src/deployment.rs
+++ b/crates/demo/src/deployment.rs
@@ -15,7 +15,7 @@
 
 /// Timeout for the stand-ins to listen, for the store to accept the policy, and for the daemons to become ready.
 const READY_TIMEOUT: Duration = Duration::from_mins(1);
-/// Time between two checks of these.
+/// Time between two checks while waiting for one of these.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A deployment on one machine.
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -44,7 +44,7 @@
 }
 
 /// Runs the deployment and prints the results of each interval.
-fn show(options: &Options) -> Result<()> {
+fn run_demo(options: &Options) -> Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         let registered = signal_hook::flag::register(signal, Arc::clone(&stop));
@@ -83,7 +83,7 @@
 
 fn main() -> ExitCode {
     let result = match parse() {
-        Ok(Some(options)) => show(&options),
+        Ok(Some(options)) => run_demo(&options),
         Ok(None) => {
             print!("{USAGE}");
             Ok(())
--- a/crates/demo/tests/common/mod.rs
+++ b/crates/demo/tests/common/mod.rs
@@ -150,8 +150,8 @@
 fn copy_deployment(name: &str, net: u8) -> PathBuf {
     let from = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name);
     let to = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{net}"));
-    std::fs::create_dir_all(&to).expect("the folder can be made");
-    for file in std::fs::read_dir(from).expect("the deployment is there") {
+    std::fs::create_dir_all(&to).expect("the folder can be created");
+    for file in std::fs::read_dir(from).expect("the deployment exists") {
         let path = file.expect("the folder can be read").path();
         let text = std::fs::read_to_string(&path).expect("the file can be read");
         let text = text.replace("127.0.1.", &format!("127.0.{net}.")).replace("127.0.2.", &format!("127.0.{net}."));
--- a/crates/demo/tests/processes.rs
+++ b/crates/demo/tests/processes.rs
@@ -11,7 +11,7 @@
 #[rstest]
 #[case("bayline", 31)]
 #[case("onfot", 32)]
-fn every_class_comes_back_whole(#[case] name: &str, #[case] net: u8) {
+fn requests_of_every_class_get_complete_answers(#[case] name: &str, #[case] net: u8) {
     let mut testbed = Testbed::start(name, net);
     let mut flows = testbed.deployment.flows(100.0);
     flows.iter_mut().for_each(|flow| flow.per_second = flow.per_second.max(5.0));
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn lookups_go_on_when_an_entry_a_backend_and_the_store_die() {
+fn lookups_succeed_when_an_entry_a_backend_and_the_store_are_killed() {
     let mut testbed = Testbed::start("bayline", 33);
     let plan = testbed.plan(vec![flow("lookup", "GET", "/stock?work_ms=10", 100.0)], 9, 32);
     let (entry, backend) = (testbed.entry(0).name, testbed.backends()[0].name.clone());
     let tallies = testbed.load(&plan, |deployment| {
-        for victim in [entry.as_str(), backend.as_str(), "store"] {
+        for name in [entry.as_str(), backend.as_str(), "store"] {
             std::thread::sleep(Duration::from_secs(2));
-            deployment.children.kill(victim);
+            deployment.children.kill(name);
         }
     });
     let lookups = &tallies["lookup"];
@@ -41,6 +41,7 @@
     assert!(lookups.count(Ending::Complete) > 0);
 }
 
+/// A daemon that was asked to stop completes its open requests, also when it is asked again while it is stopping.
 #[rstest]
 #[case::asked_to_stop_once(34, 1)]
 #[case::asked_to_stop_three_times(42, 3)]
@@ -68,18 +69,20 @@
     }
 }
 
+/// Callers resend unanswered orders at other entries while one entry is dead and another suspended. No order may run a
+/// second time then, nor when the suspended entry resumes.
 #[test]
-fn no_order_runs_twice_while_entries_are_killed_and_frozen() {
+fn no_order_runs_twice_while_entries_are_killed_and_suspended() {
     let mut testbed = Testbed::start("bayline", 35);
     let plan = testbed.plan(vec![flow("order", "POST", "/orders?work_ms=150", 60.0)], 10, 48);
-    let (killed, frozen) = (testbed.entry(1).name, testbed.entry(4).name);
+    let (killed, suspended) = (testbed.entry(1).name, testbed.entry(4).name);
     testbed.load(&plan, |deployment| {
         std::thread::sleep(Duration::from_secs(2));
         deployment.children.kill(&killed);
         std::thread::sleep(Duration::from_secs(2));
-        deployment.children.signal(&frozen, "STOP").expect("the daemon runs");
+        deployment.children.signal(&suspended, "STOP").expect("the daemon runs");
         std::thread::sleep(Duration::from_secs(3));
-        deployment.children.signal(&frozen, "CONT").expect("the daemon runs");
+        deployment.children.signal(&suspended, "CONT").expect("the daemon runs");
     });
     let runs = testbed.runs();
     assert!(runs.len() > 100, "only {} orders ran", runs.len());
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn an_order_is_not_run_again_when_its_entry_died() {
+fn an_order_is_not_run_again_when_its_entry_was_killed() {
     let mut testbed = Testbed::start("bayline", 37);
     let (here, there) = (testbed.entry(0), testbed.entry(6));
     let first = testbed.send(&here.address, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn a_poisonous_request_stops_two_servers_at_most() {
+fn a_poisonous_request_crashes_at_most_two_servers() {
     let mut testbed = Testbed::start("bayline", 40);
     let entries: Vec<String> = testbed.deployment.entries().map(|entry| entry.address.clone()).collect();
     for entry in &entries {
@@ -186,12 +189,12 @@
         .iter()
         .filter(|backend| testbed.deployment.children.wait(&backend.name, Duration::from_millis(100)).is_some());
     let dead = dead.count();
-    assert!(dead >= 1, "the request stops servers");
-    assert!(dead <= 2, "{dead} servers were stopped");
+    assert!(dead >= 1, "the request crashes servers");
+    assert!(dead <= 2, "{dead} servers crashed");
 }
 
 #[test]
-fn a_hanging_store_stops_orders_truly_and_nothing_else() {
+fn with_a_hanging_store_only_orders_are_refused_and_not_run() {
     let mut testbed = Testbed::start("bayline", 41);
     // Longer than the daemons' timeout for each call.
     testbed.set_faults(&testbed.deployment.store_address, "{\"slow_ms\":3000}");
@@ -209,7 +212,7 @@
         policy.classes.values_mut().for_each(|class| class.deadline_ms += 1);
         Ok(())
     });
-    let revision = done.expect("the store works resent").revision();
+    let revision = done.expect("the store works again").revision();
     testbed.deployment.wait_ready(revision).expect("every daemon has the change in force");
     let later = testbed.send(&entry, "POST", "/orders?work_ms=10", Some("k")).expect("an answer comes");
     assert_eq!((later.0, later.1.as_str()), (200, "complete"));
