--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -16,7 +16,7 @@
 
 use crate::http;
 
-/// How often running work checks whether it was cancelled.
+/// Time between two checks whether running work was cancelled.
 const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Configuration of a server.
--- a/crates/fakes/tests/store.rs
+++ b/crates/fakes/tests/store.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn keys_go_with_their_lease() {
+fn keys_are_removed_when_their_lease_expires() {
     let (server, client) = start();
     let lease = client.grant(Duration::from_mins(1)).expect("it answers");
     committed(client.commit(&[Change::set("a/1", 0, vec![]).with_lease(lease)]).expect("it answers"));
@@ -46,11 +46,11 @@
     assert_eq!(client.renew(lease), Ok(false));
     assert_eq!(client.list("b/").expect("it answers").len(), 1);
     let late = client.commit(&[Change::set("a/1", 0, vec![]).with_lease(lease)]);
-    assert_eq!(late, Ok(Commit::Conflict), "a write under a lost lease takes no effect");
+    assert_eq!(late, Ok(Commit::Conflict), "a write under an expired lease takes no effect");
 }
 
 #[test]
-fn a_lost_answer_is_ambiguous_and_took_effect() {
+fn a_commit_whose_answer_is_lost_is_ambiguous_and_takes_effect() {
     let (server, client) = start();
     server.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let lost = client.commit(&[Change::set("a", 0, b"1".to_vec())]);
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn a_store_that_is_gone_is_unreachable() {
+fn a_store_that_does_not_listen_is_unreachable() {
     let client = Client::new("127.0.0.1:1", Duration::from_secs(5)).expect("the client can be created");
     assert!(matches!(client.commit(&[Change::set("a", 0, vec![])]), Err(Error::Unreachable(_))));
 }
 
 #[test]
-fn a_slow_store_is_ambiguous() {
+fn a_call_that_times_out_is_ambiguous() {
     let server = Server::start("127.0.0.1:0").expect("the stand-in starts");
     let client = Client::new(&server.address(), Duration::from_millis(100)).expect("the client can be created");
     server.set_faults(Faults { slow_ms: 2_000, ..Faults::default() });
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -10,8 +10,8 @@
 const MIN_FAULT_MS: u64 = 200;
 /// Maximum duration of a fault, in milliseconds.
 const MAX_FAULT_MS: u64 = 4_000;
-/// Maximum number of times a fault is injected in one series.
-const MAX_SERIES: usize = 3;
+/// Maximum number of times that one series injects its fault.
+const MAX_FAULTS_PER_SERIES: usize = 3;
 
 /// A fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     Down,
     /// It delays each call, in milliseconds.
     Slow(u64),
-    /// It carries out some calls and loses their answers.
+    /// It carries out some writes and loses their answers.
     LoseAnswers,
 }
 
@@ -92,11 +92,11 @@
     steps
 }
 
-/// Appends a series: one fault that hits the same target up to [`MAX_SERIES`] times.
+/// Appends a series: one fault that hits the same target up to [`MAX_FAULTS_PER_SERIES`] times.
 fn push_series(rng: &mut Rng, draw: fn(&mut Rng) -> Fault, time: Duration, steps: &mut Vec<Step>) {
     let fault = draw(rng);
     let mut at = time.mul_f64(QUIET_FRACTION + (1.0 - 3.0 * QUIET_FRACTION) * rng.f64());
-    for _ in 0..rng.usize(1..=MAX_SERIES) {
+    for _ in 0..rng.usize(1..=MAX_FAULTS_PER_SERIES) {
         let end = at + Duration::from_millis(rng.u64(MIN_FAULT_MS..=MAX_FAULT_MS));
         if end > time.mul_f64(1.0 - QUIET_FRACTION) {
             break;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -76,7 +76,8 @@
     Ok(Report { endings: last_endings(&trace), faults, violations })
 }
 
-/// Returns the path and query of the first flow with short work and, as `keyed` says, with or without idempotency keys.
+/// Returns the path and query of the first flow with short work and, as `keyed` says, with or without idempotency keys;
+/// empty if there is none.
 fn work_path(deployment: &Deployment, keyed: bool) -> String {
     let short = |flow: &Flow| flow.keyed == keyed && !flow.path.contains("bytes=");
     deployment.flows(1.0).into_iter().find(short).map(|flow| flow.path).unwrap_or_default()
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -17,13 +17,13 @@
 const BACKEND_PORT_OFFSET: u16 = 1_000;
 /// Offset of the store's own port from the port of the link to it.
 const STORE_PORT_OFFSET: u16 = 100;
-/// Offset of the port of a link from callers to an entry daemon from the daemon's own callers' port.
+/// Offset of the port of the link to an entry daemon's callers' port from that port.
 const CALLER_LINK_PORT_OFFSET: u16 = 2_000;
 /// Timeout of a planned stop.
 const STOP_TIMEOUT: Duration = Duration::from_mins(1);
 /// Time after its start within which a process installs its signal handlers.
 const SIGNAL_SETUP_TIME: Duration = Duration::from_secs(1);
-/// Number of answers of the store that are lost in one fault.
+/// Number of writes whose answers the store loses in one fault.
 const LOST_ANSWERS: u32 = 5;
 
 /// The processes and the links between them.
@@ -39,11 +39,11 @@
     pub restarts: BTreeMap<String, u64>,
     /// When each process was last restarted, by name.
     restarted_at: BTreeMap<String, Instant>,
-    /// Processes that were asked to stop.
+    /// Daemons that were asked to stop and not restarted since, by name.
     stopping: BTreeSet<String>,
-    /// Suspended processes.
+    /// Suspended processes, by name.
     paused: BTreeSet<String>,
-    /// What backend servers had run before they were killed or stopped.
+    /// How often each key was run by backend servers that have ended since.
     ended_runs: Runs,
     agent: ureq::Agent,
 }
@@ -85,14 +85,14 @@
         })
     }
 
-    /// Returns the instance number `target` with `role`, taken modulo their number.
+    /// Returns the instance at position `target`, modulo their number, among those with `role`.
     pub fn instance(&self, role: Role, target: usize) -> Instance {
         let candidates: Vec<&Instance> =
             self.deployment.instances.iter().filter(|instance| instance.role == role).collect();
         candidates[target % candidates.len()].clone()
     }
 
-    /// Whether a process is suspended.
+    /// Whether the process `name` is suspended.
     pub fn is_paused(&self, name: &str) -> bool {
         self.paused.contains(name)
     }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The soak's own components: the checks, the plan of faults, and the proxy.
+//! Tests of the soak itself: the checks, the plan of faults, and the proxy.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read as _, Write as _};
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -13,9 +13,9 @@
 /// Seeds that failed once, each named after the cause.
 #[rstest]
 #[case::popular_requests_were_quarantined("bayline", 1)]
-#[case::soak_confused_the_process_it_had_asked_to_stop("bayline", 2)]
-#[case::soak_confused_the_process_seed_6("bayline", 6)]
-#[case::soak_confused_the_process_seed_9("bayline", 9)]
+#[case::soak_lost_track_of_the_process_asked_to_stop("bayline", 2)]
+#[case::soak_lost_track_of_the_process_seed_6("bayline", 6)]
+#[case::soak_lost_track_of_the_process_seed_9("bayline", 9)]
 #[case::daemon_ended_at_once_when_asked_to_stop_twice("onfot", 62)]
 fn guarantees_hold_under_faults(#[case] deployment: &str, #[case] seed: u64) {
     let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
