--- a/crates/config/src/configs/dispatch.rs
+++ b/crates/config/src/configs/dispatch.rs
@@ -23,13 +23,14 @@
     pub max_in_flight: u64,
     /// Memory budget for complete answers kept for requests that callers resend, in bytes over all keys.
     pub kept_answers_bytes: u64,
-    /// Fraction of a retry that each request adds to the budget, whatever its service.
+    /// Number of retries that each request adds to the budget of retries, whatever its service; from 0 to 1.
     #[serde(rename = "retry_part")]
     pub retry_ratio: f64,
-    /// Fraction of a second send that each request for a service adds to the budget, over all daemons.
+    /// Number of retries and hedges, together, that each request for a service adds to the service's budget, over all
+    /// daemons; from 0 to 1.
     #[serde(rename = "repeat_part")]
     pub repeat_ratio: f64,
-    /// Maximum number of unused second sends that the budget of one service holds, over all daemons.
+    /// Maximum number of unused retries and hedges that the budget of one service holds, over all daemons.
     #[serde(rename = "repeats_saved")]
     pub repeat_burst: f64,
     /// Number of daemons that send requests to a backend server in slow start.
--- a/crates/config/src/configs/mod.rs
+++ b/crates/config/src/configs/mod.rs
@@ -53,7 +53,7 @@
     pub region: String,
     /// The region of each failure domain; needed where the source of the policy does not supply it.
     pub domains: BTreeMap<String, String>,
-    /// Log level: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Log level: `error`, `warn`, `info`, `debug` or `trace`; empty for `info`.
     pub log: String,
     /// Log levels of single components, by the prefix of their lines; each takes precedence over `log`.
     pub log_parts: BTreeMap<String, String>,
--- a/crates/config/src/policy/class.rs
+++ b/crates/config/src/policy/class.rs
@@ -28,7 +28,7 @@
     pub rank: u8,
     /// Time within which an answer counts as good, in milliseconds.
     pub target_ms: u64,
-    /// Share of answers that must be good, from 0 to 1.
+    /// Share of answers that must be good, above 0 and below 1.
     pub target_share: f64,
     /// Time after which an answer is of no use, in milliseconds.
     pub deadline_ms: u64,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Whether `prefix` covers `path` by whole path segments.
+/// Whether `prefix` covers `path` by whole path segments; `path` may end with a query.
 fn is_path_prefix(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -83,7 +83,7 @@
 #[case("/stocks", None)]
 #[case("/orders/7", Some("order"))]
 #[case("/", None)]
-fn paths_have_classes(#[case] path: &str, #[case] class: Option<&str>) {
+fn paths_belong_to_the_class_with_a_covering_prefix(#[case] path: &str, #[case] class: Option<&str>) {
     let policy = Policy::parse("p", POLICY).expect("the policy is valid");
     assert_eq!(policy.class_of("", path).map(|(name, _)| name), class);
 }
--- a/crates/ctl/src/change.rs
+++ b/crates/ctl/src/change.rs
@@ -15,8 +15,8 @@
 pub enum Outcome {
     /// The change became this revision.
     Applied(u64),
-    /// The change took effect and the policy was changed again since; it is now at this revision.
-    Superseded(u64),
+    /// The policy at this revision contains the change, and may have been changed again since.
+    Included(u64),
     /// The policy at this revision is already as the change would make it; nothing was written.
     Unchanged(u64),
 }
@@ -25,7 +25,7 @@
     /// Returns the newest revision known to contain the change.
     pub const fn revision(&self) -> u64 {
         match self {
-            Self::Applied(revision) | Self::Superseded(revision) | Self::Unchanged(revision) => *revision,
+            Self::Applied(revision) | Self::Included(revision) | Self::Unchanged(revision) => *revision,
         }
     }
 }
@@ -50,7 +50,7 @@
     for _ in 0..MAX_EDIT_ATTEMPTS {
         let (mut policy, revision) = read(store)?;
         if policy.changes.iter().any(|change| change == id) {
-            return Ok(Outcome::Superseded(revision));
+            return Ok(Outcome::Included(revision));
         }
         let before = policy.clone();
         edit(&mut policy)?;
@@ -105,7 +105,7 @@
                     return Ok(Some(Outcome::Applied(revision)));
                 }
                 if changes.iter().any(|change| change == id) {
-                    return Ok(Some(Outcome::Superseded(revision)));
+                    return Ok(Some(Outcome::Included(revision)));
                 }
                 if revision != change.expect {
                     return Ok(None);
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -19,7 +19,7 @@
     config.into()
 }
 
-/// Reads and parses the JSON at `url`.
+/// Reads and parses the JSON at `url`; the error is the reason as text.
 pub fn get<T: DeserializeOwned>(agent: &ureq::Agent, url: &str) -> std::result::Result<T, String> {
     let mut response = agent.get(url).call().map_err(|error| error.to_string())?;
     let read = response.body_mut().with_config().limit(MAX_BYTES).read_to_vec();
@@ -34,7 +34,8 @@
     Ok(instances.into_iter().filter(|instance| instance.role == Role::Entry).collect())
 }
 
-/// Reads the JSON at `path` from each of `entries` in parallel and returns it by instance name.
+/// Reads the JSON at `path` from each of `entries` in parallel. Returns it, or why it could not be read, by instance
+/// name.
 pub fn get_all<T>(
     agent: &ureq::Agent,
     entries: &[Instance],
--- a/crates/ctl/src/verbs/mod.rs
+++ b/crates/ctl/src/verbs/mod.rs
@@ -55,14 +55,14 @@
     }
 }
 
-/// Returns the output for a change that is in effect: its id and the revision that contains it.
+/// Returns the output for a change that is in effect: the revision that contains it and, as JSON, also its id.
 fn acknowledgement(command: &Command, id: &str, outcome: &Outcome) -> Result<String> {
     if command.json {
         return Ok(format!("{{\"change\":\"{id}\",\"revision\":{}}}\n", outcome.revision()));
     }
     Ok(match outcome {
         Outcome::Applied(revision) => format!("done: revision {revision}\n"),
-        Outcome::Superseded(revision) => format!("done: part of revision {revision}, which others changed since\n"),
+        Outcome::Included(revision) => format!("done: part of revision {revision}, which others changed since\n"),
         Outcome::Unchanged(revision) => format!("no change: revision {revision} says so already\n"),
     })
 }
@@ -71,7 +71,7 @@
 fn settle(command: &Command, store: &Client, id: &str) -> Result<String> {
     let (policy, revision) = change::read(store)?;
     if policy.changes.iter().any(|change| change == id) {
-        return acknowledgement(command, id, &Outcome::Superseded(revision));
+        return acknowledgement(command, id, &Outcome::Included(revision));
     }
     Err(Error::Failed(format!("the change {id} is not among the latest of revision {revision}: it took no effect")))
 }
--- a/crates/ctl/src/verbs/show.rs
+++ b/crates/ctl/src/verbs/show.rs
@@ -38,7 +38,9 @@
 #[derive(Debug, Serialize)]
 struct Daemon {
     instance: String,
+    /// `None` if the daemon did not answer.
     answer: Option<Decisions>,
+    /// Why the daemon did not answer; `None` if it did.
     silent: Option<String>,
 }
 
