--- a/crates/daemon/tests/logs.rs
+++ b/crates/daemon/tests/logs.rs
@@ -77,7 +77,7 @@
 const SETTINGS: &str = "instance = \"e\"\ndomain = \"d\"\nregion = \"r\"\n";
 
 fn settings(log_settings: &str) -> Settings {
-    Settings::parse("test", &format!("{log_settings}{SETTINGS}")).expect("the settings are good")
+    Settings::parse("test", &format!("{log_settings}{SETTINGS}")).expect("the settings are valid")
 }
 
 /// Guards against a component's own level that is ignored or applied to other components.
--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -18,7 +18,7 @@
 [classes.lookup]\nservice = \"s\"\npaths = [\"/stock\"]\nidempotent = true\nrank = 1\ntarget_ms = 100\ntarget_share = 0.99\ndeadline_ms = 2000\n\
 [classes.order]\nservice = \"s\"\npaths = [\"/orders\"]\nidempotent = false\nrank = 0\ntarget_ms = 100\ntarget_share = 0.99\ndeadline_ms = 2000\n";
 
-/// A daemon with a fake backend server, instance list and store.
+/// A daemon with stand-ins for a backend server, the instance list and the store.
 struct Harness {
     backend: Server,
     _list: fakes::list::Server,
@@ -30,8 +30,9 @@
 impl Harness {
     /// Starts everything on the addresses `127.0.{net}.*` and waits until a request succeeds.
     fn new(net: u8) -> Self {
-        let backend = Server::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the fake backend starts");
-        let store = fakes::store::Server::start("127.0.0.1:0").expect("the fake store starts");
+        let backend =
+            Server::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the stand-in backend starts");
+        let store = fakes::store::Server::start("127.0.0.1:0").expect("the stand-in store starts");
         let instance = Instance {
             name: "b".to_owned(),
             role: Role::Backend,
@@ -46,8 +47,8 @@
             started_at: 0,
             state: State::Live,
         };
-        let list =
-            fakes::list::Server::start("127.0.0.1:0", vec![instance], Duration::ZERO).expect("the fake list starts");
+        let list = fakes::list::Server::start("127.0.0.1:0", vec![instance], Duration::ZERO)
+            .expect("the stand-in list starts");
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let policy = folder.join(format!("port-{net}.toml"));
         std::fs::write(&policy, POLICY).expect("the file can be written");
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,6 +1,6 @@
 //! Budgets for extra attempts, earned by ordinary requests.
 
-/// A budget that earns a fraction of an attempt for each request and spends whole ones.
+/// A budget that earns a fraction of an attempt for each request and spends whole attempts.
 #[derive(Debug, Clone)]
 pub struct Budget {
     ratio: f64,
--- a/crates/dispatch/src/engine/update.rs
+++ b/crates/dispatch/src/engine/update.rs
@@ -127,7 +127,7 @@
         self.announcements.leaving(now)
     }
 
-    /// Suspends dispatch after the process stood still for `stall`, as the state of servers may be out of date:
+    /// Suspends dispatch after the process was stalled for `stall`, as the state of servers may be out of date:
     /// nothing is sent until `until` or `resume`. The time of the stall is not held against servers.
     pub fn suspend(&mut self, stall: Duration, until: Time) {
         self.suspended_until = self.suspended_until.max(until);
--- a/crates/dispatch/tests/announcements.rs
+++ b/crates/dispatch/tests/announcements.rs
@@ -211,7 +211,7 @@
     assert!(cluster.retry_times.iter().all(|at| *at >= until), "no caller retries before the end of the pause");
     let retries = cluster.retry_times.len();
     let first = cluster.retry_times.iter().filter(|at| **at < until + Duration::from_millis(250)).count();
-    assert!(first * 3 < retries, "{first} of {retries} come back in the first quarter of a second");
+    assert!(first * 3 < retries, "{first} of {retries} retries come within 250 ms of the end of the pause");
     cluster.run(SECOND * 10, 30.0, 40);
     let end = until.as_millis() / 1_000;
     let max_load = (end..end + 2).filter_map(|second| cluster.max_load.get(&second)).max();
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -200,7 +200,10 @@
         Verdict::Relay(attempt) => assert!(trace.attempts.contains(&attempt), "the answer is the request's own"),
         Verdict::Refuse(kind) => {
             let not_run = kind.answer().outcome == Outcome::NotRun;
-            assert!(!not_run || (trace.may_have_run == 0 && running == 0), "{kind} says not run, but it may have");
+            assert!(
+                !not_run || (trace.may_have_run == 0 && running == 0),
+                "{kind} says `not run`, but the request may have run"
+            );
         }
     }
 }
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -35,7 +35,7 @@
     engine.take_actions().into_iter().filter_map(start).collect()
 }
 
-/// Load: a whole service is full. Every attempt is shed, and would be retried elsewhere, which multiplies
+/// Load: all servers of a service are full. Every attempt is shed, and would be retried elsewhere, which multiplies
 /// the load.
 #[rstest]
 #[case::a_fifth(0.2, 3.0)]
--- a/crates/fleet/tests/roster.rs
+++ b/crates/fleet/tests/roster.rs
@@ -195,9 +195,9 @@
 #[case::older(7, 6, false)]
 fn a_policy_never_goes_back_to_an_older_revision(#[case] current: u64, #[case] received: u64, #[case] applied: bool) {
     let mut replica = Replica::new();
-    replica.apply(Document::new(current, POLICY.to_owned())).expect("the policy is good");
+    replica.apply(Document::new(current, POLICY.to_owned())).expect("the policy is valid");
     let result = replica.apply(Document::new(received, POLICY.to_owned()));
-    assert_eq!(result.expect("the policy is good").is_some(), applied);
+    assert_eq!(result.expect("the policy is valid").is_some(), applied);
     assert_eq!(replica.revision(), current.max(received));
 }
 
--- a/crates/fleet/tests/source.rs
+++ b/crates/fleet/tests/source.rs
@@ -38,7 +38,10 @@
                 }
                 Source::DomainLeader(leader) => {
                     assert_eq!(members[leader], members[name]);
-                    assert!(matches!(sources[leader], Source::RegionLeader(_)), "it learns from the region leader");
+                    assert!(
+                        matches!(sources[leader], Source::RegionLeader(_)),
+                        "the source of a domain leader is the region leader"
+                    );
                 }
             }
         }
--- a/crates/h1/tests/budget.rs
+++ b/crates/h1/tests/budget.rs
@@ -17,10 +17,10 @@
             reservation.grow(4_096);
         }
         let mut usual = budget.reserve();
-        assert!((0..5).all(|_| usual.grow(BYTES / 500)), "{} held", budget.reserved());
+        assert!((0..5).all(|_| usual.grow(BYTES / 500)), "{} bytes reserved", budget.reserved());
         peak = peak.max(budget.reserved());
     }
-    assert!(peak <= BYTES + 20_000, "{peak} bytes held");
+    assert!(peak <= BYTES + 20_000, "{peak} bytes reserved");
     drop(endless);
     assert_eq!(budget.reserved(), 0, "all of it is released");
 }
--- a/crates/h1/tests/client.rs
+++ b/crates/h1/tests/client.rs
@@ -106,7 +106,7 @@
     let address = server(move |mut stream| {
         read_head(&mut stream);
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").expect("the client reads");
-        more.recv().expect("the test goes on");
+        more.recv().expect("the test sends the signal");
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno").expect("the client reads");
         wait_for_close(&mut stream);
     });
--- a/crates/kernel/tests/lifecycle.rs
+++ b/crates/kernel/tests/lifecycle.rs
@@ -16,7 +16,7 @@
 
 impl Recorder {
     fn record(&self, what: &str) {
-        self.log.lock().expect("no test panics here").push(format!("{what} {}", self.name));
+        self.log.lock().expect("no test panics with the lock held").push(format!("{what} {}", self.name));
     }
 }
 
@@ -50,7 +50,7 @@
 }
 
 fn logged(log: &Arc<Log>) -> String {
-    log.lock().expect("no test panics here").join(", ")
+    log.lock().expect("no test panics with the lock held").join(", ")
 }
 
 #[test]
--- a/crates/steer/tests/answers.rs
+++ b/crates/steer/tests/answers.rs
@@ -169,7 +169,10 @@
     let moved = 1.0 - controller.shares().share(0, 0);
     assert!(moved > 0.1, "{moved} moved");
     run(&mut controller, 200, 20, |now| vec![load(HIGH_WATER * 90.0, false, now); 3]);
-    assert!((1.0 - controller.shares().share(0, 0) - moved).abs() < 0.051, "no callers return between the marks");
+    assert!(
+        (1.0 - controller.shares().share(0, 0) - moved).abs() < 0.051,
+        "no callers return while the load is between the water marks"
+    );
     run(&mut controller, 220, 600, |now| vec![load(30.0, false, now); 3]);
     assert!((controller.shares().share(0, 0) - 1.0).abs() < 1e-9);
 }
--- a/crates/steer/tests/grants.rs
+++ b/crates/steer/tests/grants.rs
@@ -192,7 +192,7 @@
 #[test]
 fn shares_never_add_up_to_more_than_one() {
     let max = max_used(true, 400);
-    assert!(max <= 1.0, "{max} of the grants was used");
+    assert!(max <= 1.0, "the shares used add up to {max}");
     assert!(max > 0.9, "nearly all grants are used, not only {max}");
 }
 
