--- a/crates/daemon/tests/port.rs
+++ b/crates/daemon/tests/port.rs
@@ -10,7 +10,7 @@
 use config::configs::Settings;
 use daemon::adapter::Adapter;
 use daemon::lifecycle::Daemon;
-use fakes::backend::{Server, Setup};
+use fakes::backend::{Running, Setup};
 use log::kv::{Key, Value, VisitSource};
 use rstest::rstest;
 
@@ -20,9 +20,9 @@
 
 /// A daemon with stand-ins for a backend server, the instance list and the store.
 struct Harness {
-    backend: Server,
-    _list: fakes::list::Server,
-    store: fakes::store::Server,
+    backend: Running,
+    _list: fakes::list::Running,
+    store: fakes::store::Running,
     daemon: Option<Daemon>,
     address: String,
 }
@@ -31,8 +31,8 @@
     /// Starts everything on the addresses `127.0.{net}.*` and waits until a request succeeds.
     fn new(net: u8) -> Self {
         let backend =
-            Server::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the stand-in backend starts");
-        let store = fakes::store::Server::start("127.0.0.1:0").expect("the stand-in store starts");
+            Running::start("127.0.0.1:0", Setup::new("b").with_work_ms(5)).expect("the stand-in backend starts");
+        let store = fakes::store::Running::start("127.0.0.1:0").expect("the stand-in store starts");
         let instance = Instance {
             name: "b".to_owned(),
             role: Role::Backend,
@@ -47,7 +47,7 @@
             started_at: 0,
             state: State::Live,
         };
-        let list = fakes::list::Server::start("127.0.0.1:0", vec![instance], Duration::ZERO)
+        let list = fakes::list::Running::start("127.0.0.1:0", vec![instance], Duration::ZERO)
             .expect("the stand-in list starts");
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let policy = folder.join(format!("port-{net}.toml"));
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -123,18 +123,18 @@
 }
 
 /// A running backend server; dropping it stops it.
-pub struct Server {
+pub struct Running {
     listener: Arc<tiny_http::Server>,
     shared: Arc<Shared>,
 }
 
-impl std::fmt::Debug for Server {
+impl std::fmt::Debug for Running {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Server").field("address", &self.address()).finish_non_exhaustive()
+        f.debug_struct("Running").field("address", &self.address()).finish_non_exhaustive()
     }
 }
 
-impl Server {
+impl Running {
     /// Starts a server at `address`.
     pub fn start(address: &str, setup: Setup) -> std::io::Result<Self> {
         let listener = Arc::new(tiny_http::Server::http(address).map_err(std::io::Error::other)?);
@@ -176,7 +176,7 @@
     }
 }
 
-impl Drop for Server {
+impl Drop for Running {
     fn drop(&mut self) {
         self.listener.unblock();
     }
--- a/crates/fakes/src/bin/fakebackend.rs
+++ b/crates/fakes/src/bin/fakebackend.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use fakes::backend::{Server, Setup};
+use fakes::backend::{Running, Setup};
 use fakes::cli::{self, Options};
 
 const USAGE: &str = "fakebackend --name NAME [--address IP:PORT] [--slots N] [--queue N] [--work-ms N] [--cold-ms N] [--lag-ms N]\n\nStand-in for one backend server.";
@@ -17,7 +17,7 @@
     setup.cold_ms = options.number("cold-ms", 0)?;
     setup.report_lag_ms = options.number("lag-ms", 500)?;
     setup.exit_on_crash = true;
-    let server = Server::start(options.text("address", "127.0.0.1:0"), setup)?;
+    let server = Running::start(options.text("address", "127.0.0.1:0"), setup)?;
     println!("fakebackend: listens at {}", server.address());
     cli::wait_for_termination();
     Ok(())
--- a/crates/fakes/src/bin/fakelist.rs
+++ b/crates/fakes/src/bin/fakelist.rs
@@ -12,7 +12,7 @@
     let options = Options::read(&["address", "instances", "lag-ms"], USAGE)?;
     let instances = read_instances(options.text("instances", ""))?;
     let lag = Duration::from_millis(options.number("lag-ms", 1_000)?);
-    let server = fakes::list::Server::start(options.text("address", "127.0.0.1:7901"), instances, lag)?;
+    let server = fakes::list::Running::start(options.text("address", "127.0.0.1:7901"), instances, lag)?;
     println!("fakelist: listens at {}", server.address());
     cli::wait_for_termination();
     Ok(())
--- a/crates/fakes/src/bin/fakestore.rs
+++ b/crates/fakes/src/bin/fakestore.rs
@@ -8,7 +8,7 @@
 
 fn run() -> Result<(), Box<dyn std::error::Error>> {
     let options = Options::read(&["address"], USAGE)?;
-    let server = fakes::store::Server::start(options.text("address", "127.0.0.1:7900"))?;
+    let server = fakes::store::Running::start(options.text("address", "127.0.0.1:7900"))?;
     println!("fakestore: listens at {}", server.address());
     cli::wait_for_termination();
     Ok(())
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -44,18 +44,18 @@
 }
 
 /// A running store; dropping it stops it.
-pub struct Server {
+pub struct Running {
     listener: Arc<tiny_http::Server>,
     shared: Arc<Mutex<Shared>>,
 }
 
-impl std::fmt::Debug for Server {
+impl std::fmt::Debug for Running {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Server").field("address", &self.address()).finish_non_exhaustive()
+        f.debug_struct("Running").field("address", &self.address()).finish_non_exhaustive()
     }
 }
 
-impl Server {
+impl Running {
     /// Starts a store at `address`.
     pub fn start(address: &str) -> std::io::Result<Self> {
         let listener = Arc::new(tiny_http::Server::http(address).map_err(std::io::Error::other)?);
@@ -89,7 +89,7 @@
     }
 }
 
-impl Drop for Server {
+impl Drop for Running {
     fn drop(&mut self) {
         self.listener.unblock();
     }
--- a/crates/fakes/tests/store.rs
+++ b/crates/fakes/tests/store.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use fakes::store::{Faults, Server};
+use fakes::store::{Faults, Running};
 use store::{Change, Client, Commit, Error, Store as _};
 
-fn start() -> (Server, Client) {
-    let server = Server::start("127.0.0.1:0").expect("the stand-in starts");
+fn start() -> (Running, Client) {
+    let server = Running::start("127.0.0.1:0").expect("the stand-in starts");
     let client = Client::new(&server.address(), Duration::from_secs(5)).expect("the client can be created");
     (server, client)
 }
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_call_that_times_out_is_ambiguous() {
-    let server = Server::start("127.0.0.1:0").expect("the stand-in starts");
+    let server = Running::start("127.0.0.1:0").expect("the stand-in starts");
     let client = Client::new(&server.address(), Duration::from_millis(100)).expect("the client can be created");
     server.set_faults(Faults { slow_ms: 2_000, ..Faults::default() });
     assert!(matches!(client.read("a"), Err(Error::Ambiguous(_))));
