--- a/crates/steer/src/grant.rs
+++ b/crates/steer/src/grant.rs
@@ -49,7 +49,7 @@
 /// The next operation at the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Plan {
-    /// None now.
+    /// Nothing is due.
     Wait,
     /// Create a lease.
     CreateLease,
